--- a/include/snipestall/serving/backend_server.hpp
+++ b/include/snipestall/serving/backend_server.hpp
@@ -9,22 +9,22 @@
 
 namespace snipestall::serving {
 
-/// One incarnation of a backend server as it describes itself.
+/// One incarnation of a backend server, as the server describes itself.
 struct BackendServer
 {
-    /// May be that of an earlier incarnation, which had another `born`.
+    /// The same for all incarnations of a server; `startedAt` tells them apart.
     std::string id;
-    /// When this incarnation started; of two with one id the later one is the newer. The clock's
-    /// zero if the server does not say.
+    /// When this incarnation started; of two incarnations with the same id, the later one is the
+    /// newer. The epoch of the clock if the server does not report it.
     WallTime born;
     std::string service;
     wire::Endpoint address;
     std::string dataCentre;
     int slots = 1;
     bool leaving = false;
-    /// Whether the data centre may take it back at short notice.
+    /// Whether the data centre may reclaim the server at short notice.
     bool reclaimable = false;
-    /// Known only for a server that is being reclaimed: how long it still runs.
+    /// Remaining time until the server is stopped; set only for a server that is being reclaimed.
     std::optional<std::chrono::milliseconds> leavesIn;
 };
 
--- a/include/snipestall/serving/catalogue.hpp
+++ b/include/snipestall/serving/catalogue.hpp
@@ -14,7 +14,8 @@
 
 namespace snipestall::serving {
 
-/// One version of what the operator wants served. Immutable once built.
+/// One version of the routes, services, customers and limits that the operator has configured.
+/// Immutable once constructed.
 class Catalogue
 {
 public:
@@ -27,12 +28,13 @@
     [[nodiscard]] const std::vector<Customer> &customers() const { return m_customers; }
     [[nodiscard]] const std::map<std::string, Service> &services() const { return m_services; }
 
-    /// The route of this host with the longest prefix that begins the path; null if none.
+    /// Returns the route of `host` with the longest prefix that matches the beginning of `path`;
+    /// null if there is none.
     [[nodiscard]] const Route *route(std::string_view host, std::string_view path) const;
-    /// Null for a key that nobody holds.
+    /// Returns the customer that holds `key`; null if no customer does.
     [[nodiscard]] const Customer *customerOfKey(std::string_view key) const;
     [[nodiscard]] const Service *service(const std::string &name) const;
-    /// Whether requests need a key at all.
+    /// Whether customers are configured, in which case requests need a key.
     [[nodiscard]] bool hasCustomers() const { return !m_customers.empty(); }
 
 private:
--- a/include/snipestall/serving/crash_watch.hpp
+++ b/include/snipestall/serving/crash_watch.hpp
@@ -12,75 +12,82 @@
 
 namespace snipestall::serving {
 
-/// A request, by its fingerprint, was in flight at a server that ended.
+/// Reports that a request, named by its fingerprint, was in flight at a server when that server
+/// crashed.
 struct CrashReport
 {
     std::uint64_t fingerprint = 0;
     std::string server;
 };
 
-/// Keeps a request that ends each server that runs it from ending many.
+/// Blocks requests that crash the servers that run them.
 ///
-/// Load: one request, sent again and again by its caller to any instance, ends every server that
-/// begins it. Harm: each time, everything else on that server is lost. A request whose connection
-/// broke counts against a server only once that server refuses connections: a lost answer alone
-/// says nothing about the request, nor does a server that a partition hides. What was in flight at
-/// three servers when they ended is refused; innocent requests beside it are rarely at three, and
-/// one that a server has answered is innocent. Reports go round among the instances.
+/// Load: one caller repeatedly sends a request, to any instance, that crashes every server that
+/// starts it. Harm: each crash also loses all other work on that server. A request whose connection
+/// broke counts against a server only once that server refuses connections, because a lost answer
+/// alone does not show that the request is at fault, and neither does a server that cannot be
+/// reached across a network partition. A request that was in flight at three servers when they
+/// crashed is refused. Other requests that run beside it are rarely in flight at three such
+/// servers, and a request that a server has answered is known to be harmless. The instances
+/// exchange their reports.
 class CrashWatch
 {
 public:
-    /// The connection broke before the end of the answer. True if the caller is to find out
-    /// whether the server has ended, and to tell it; false if that is under way already.
+    /// The connection to `server` broke before the end of the answer. Returns true if it now has to
+    /// be checked whether the server has crashed, with the result reported by foundRunning() or
+    /// connectionRefused(); false if such a check is already under way.
     bool broke(std::uint64_t fingerprint, const std::string &server, SteadyTime now);
-    /// Whether the first look at a server that broke off is still under way.
+    /// Whether the check of a server whose connection broke is still under way.
     [[nodiscard]] bool inDoubt(const std::string &server) const;
-    /// The first look found the server taking connections.
+    /// The check found that the server accepts connections.
     void stillListens(const std::string &server);
-    /// The server refuses connections: what broke there just before is reported.
+    /// The server refuses connections. Reports all requests whose connections to it broke shortly
+    /// before.
     void refused(const std::string &server, SteadyTime now);
+    /// Adds a report of this instance or of a peer.
     void reported(const CrashReport &report, SteadyTime now);
-    /// A server answered the request: it is not the cause of any end.
+    /// A server answered the request, so the request is not the cause of any crash.
     void answered(std::uint64_t fingerprint, SteadyTime now);
-    /// Whether a server has answered it within the last minutes.
+    /// Whether a server has answered the request within the last minutes.
     [[nodiscard]] bool isInnocent(std::uint64_t fingerprint) const;
-    /// Whether a server has ended while it was in flight there.
+    /// Whether a server has crashed while the request was in flight there.
     [[nodiscard]] bool hasEndedServer(std::uint64_t fingerprint) const;
+    /// Whether the request has to be refused.
     [[nodiscard]] bool blocked(std::uint64_t fingerprint, SteadyTime now) const;
-    /// What other instances are to be told.
+    /// Recent reports that have to be sent to the other instances.
     [[nodiscard]] std::vector<CrashReport> recent(SteadyTime now) const;
 
 private:
-    static constexpr std::size_t MostServers = 3;
-    /// A server that ended refuses connections well within this time.
-    static constexpr std::chrono::milliseconds SuspectFor { 1500 };
-    /// A caller that repeats such a request does so within its deadline, and again.
-    static constexpr std::chrono::seconds BlockedFor { 120 };
-    /// Reports are told to peers for several exchanges.
-    static constexpr std::chrono::seconds ToldFor { 3 };
-    static constexpr std::size_t MostFingerprints = 4096;
+    static constexpr std::size_t BlockThreshold = 3;
+    /// A crashed server refuses connections well within this time.
+    static constexpr std::chrono::milliseconds SuspectPeriod { 1500 };
+    /// Callers repeat such a request within its deadline, possibly more than once.
+    static constexpr std::chrono::seconds BlockPeriod { 120 };
+    /// Each report is included in several exchanges with the peers.
+    static constexpr std::chrono::seconds ReportPeriod { 3 };
+    static constexpr std::size_t MaxFingerprints = 4096;
 
-    struct Suspect
+    struct BrokenRequest
     {
         std::uint64_t fingerprint = 0;
         SteadyTime time;
     };
-    struct Ended
+    struct CrashedServers
     {
         std::set<std::string> servers;
         SteadyTime last;
     };
-    struct Told
+    struct RecentReport
     {
         CrashReport report;
         SteadyTime time;
     };
 
-    std::map<std::string, std::vector<Suspect>> m_suspects;
-    std::set<std::string> m_inDoubt;
+    std::map<std::string, std::vector<BrokenRequest>> m_brokenRequests;
+    std::set<std::string> m_checking;
     RecentHashes m_answered;
-    std::map<std::uint64_t, Ended> m_ended;
-    std::vector<Told> m_told;
+    std::map<std::uint64_t, CrashedServers> m_crashedServers;
+    std::vector<RecentReport> m_recentReports;
 };
 
 } // namespace snipestall::serving
--- a/include/snipestall/serving/customer.hpp
+++ b/include/snipestall/serving/customer.hpp
@@ -6,19 +6,20 @@
 
 namespace snipestall::serving {
 
-/// A customer with its keys and its quota over all instances.
+/// A customer with its keys and its quota, which applies to all instances together.
 struct Customer
 {
     std::string name;
     std::vector<std::string> keys;
-    /// Goes before the route's priority when set.
+    /// Overrides the route's priority if set.
     std::optional<int> priority;
-    /// Units a second; 0 for no limit.
+    /// Units per second; 0 means unlimited.
     double ratePerSecond = 0;
+    /// Units that may be taken at once when the quota has not been used for a while.
     double burst = 0;
     /// Whether the unit of the quota is a token; otherwise it is a request.
     bool countsTokens = false;
-    /// Tokens that a request without a token count stands for.
+    /// Tokens that are charged for a request without a token count.
     double defaultTokens = 0;
 };
 
--- a/include/snipestall/serving/data_centre_health.hpp
+++ b/include/snipestall/serving/data_centre_health.hpp
@@ -8,31 +8,34 @@
 
 namespace snipestall::serving {
 
-/// Whether a data centre's backend servers can be reached from here.
+/// Tracks whether a data centre's backend servers can be reached from this instance.
 ///
-/// Failure: a data centre is cut off from this one. It shows as requests that hang at each of its
-/// servers in turn, each costing a caller the time to find out. Two servers lost without an answer
-/// from any of the data centre's in between put all of them under suspicion at once; the first
-/// answer ends it.
+/// Failure: the network path to a data centre is cut. It shows as requests that hang at each of its
+/// servers in turn, and each of them costs a caller the time until the timeout. When two servers
+/// have been lost and no server of the data centre has answered in between, all its servers are
+/// suspected at once; the first answer ends the suspicion.
 class DataCentreHealth
 {
 public:
+    /// A request to `server` failed without an answer.
     void lost(const std::string &server, SteadyTime now);
     void answered();
+    /// False while the data centre's servers are suspected.
     [[nodiscard]] bool usable(SteadyTime now) const { return now >= m_avoidUntil; }
 
 private:
-    static constexpr std::size_t LostServers = 2;
-    /// As for a single server: found again by a request per period.
-    static constexpr std::chrono::milliseconds FirstPause { 400 };
-    static constexpr std::chrono::milliseconds LongestPause { 1600 };
-    /// Losses further apart have nothing to do with each other.
-    static constexpr std::chrono::milliseconds Together { 3000 };
+    static constexpr std::size_t SuspicionThreshold = 2;
+    /// As in ServerHealth: a data centre that can be reached again is found by one request per
+    /// pause.
+    static constexpr std::chrono::milliseconds InitialPause { 400 };
+    static constexpr std::chrono::milliseconds MaxPause { 1600 };
+    /// Losses that are further apart are taken as unrelated.
+    static constexpr std::chrono::milliseconds LossWindow { 3000 };
 
-    std::set<std::string> m_lost;
+    std::set<std::string> m_lostServers;
     SteadyTime m_lastLost;
     SteadyTime m_avoidUntil;
-    std::chrono::milliseconds m_pause { FirstPause };
+    std::chrono::milliseconds m_pause { InitialPause };
 };
 
 } // namespace snipestall::serving
--- a/include/snipestall/serving/decaying_rate.hpp
+++ b/include/snipestall/serving/decaying_rate.hpp
@@ -6,15 +6,17 @@
 
 namespace snipestall::serving {
 
-/// A rate a second over about the last `over`, from amounts that come at any times.
+/// Exponentially decaying average of a rate per second, computed from amounts that arrive at any
+/// times. `period` is the averaging period.
 ///
-/// Amounts are never divided by the time between two of them: reports that happen to arrive a
-/// millisecond apart would otherwise look like a flood.
+/// Amounts are never divided by the time between two of them, because reports that happen to arrive
+/// a millisecond apart would then look like a flood.
 class DecayingRate
 {
 public:
-    void add(double amount, std::chrono::milliseconds over, SteadyTime now);
-    [[nodiscard]] double at(std::chrono::milliseconds over, SteadyTime now) const;
+    void add(double amount, std::chrono::milliseconds period, SteadyTime now);
+    /// The average rate per second at `now`.
+    [[nodiscard]] double at(std::chrono::milliseconds period, SteadyTime now) const;
 
 private:
     double m_perSecond = 0;
--- a/include/snipestall/serving/demand_meter.hpp
+++ b/include/snipestall/serving/demand_meter.hpp
@@ -11,52 +11,59 @@
 
 namespace snipestall::serving {
 
-/// Seconds of a whole server's work by service, since a process started; it only grows.
+/// Work by service, in seconds of one fully used server, since a process started. The totals only
+/// grow.
 using ServiceWork = std::map<std::string, double>;
 
-/// Measures how many servers each service would need if they were fully used.
+/// Measures how many fully used servers each service would need.
 ///
-/// An engine's work is the prompt tokens it has to read over the rate at which engines are seen to
-/// read; a plain server's is the time a request takes over the requests it takes at once. The rate
-/// is taken from requests that found no prompt waiting before them.
+/// The work of a model engine is the number of prompt tokens that it has to read, divided by the
+/// rate at which engines have been observed to read. The work of a plain server is the duration of
+/// a request divided by the number of requests that the server runs concurrently. The read rate is
+/// measured on requests that had no other prompt waiting ahead of them.
 class DemandMeter
 {
 public:
-    /// A prompt was read: its first token came after `took`, with nothing waiting ahead of it.
+    /// An engine has read a prompt: its first token came after `took`, with no other prompt waiting
+    /// ahead of it.
     void sawPromptRead(const std::string &service, double tokens,
                        std::chrono::duration<double> took);
+    /// A prompt of which `tokens` are not cached was sent to an engine.
     void promptSent(const std::string &service, double tokens);
+    /// A request to a plain server with `slots` concurrent requests ended after `took`.
     void callEnded(const std::string &service, std::chrono::duration<double> took, int slots);
     [[nodiscard]] const ServiceWork &ownWork() const { return m_ownWork; }
 
-    /// A peer's totals; those of another series say nothing of how these have grown.
+    /// Adds what a peer's totals have grown by. Totals of another `series` cannot be compared with
+    /// earlier ones, so they only set a new base.
     void peerWork(const std::string &peer, std::uint64_t series, const ServiceWork &work);
-    /// What a peer says is told by another one, too.
+    /// Drops the totals of a peer whose work another peer also reports.
     void forgetPeer(const std::string &peer) { m_peers.erase(peer); }
 
-    /// To be called a few times a second by whoever wants `needed`.
+    /// Takes a sample; to be called a few times per second while needed() is used.
     void sample(SteadyTime now);
-    /// Fully used servers that the last seconds' requests needed, at the highest; 0 if not known.
+    /// The highest number of fully used servers that the requests of the last seconds needed; 0 if
+    /// unknown.
     [[nodiscard]] double needed(const std::string &service) const;
-    /// The same at the last sample; 0 if not known.
+    /// The number needed at the last sample; 0 if unknown.
     [[nodiscard]] double neededNow(const std::string &service) const;
-    /// Prompt tokens a second that an engine reads when it does nothing else; 0 until enough
-    /// prompts were seen.
+    /// Prompt tokens per second that an engine reads when it does nothing else; 0 until enough
+    /// prompts have been observed.
     [[nodiscard]] double readRate(const std::string &service) const;
 
 private:
-    static constexpr std::size_t MostRates = 96;
-    static constexpr std::size_t FewestRates = 8;
-    /// Shorter prompts measure the engine's fixed delays more than its reading.
-    static constexpr double ShortestPrompt = 3000;
-    /// Long enough that one long prompt does not look like a rise.
-    static constexpr std::chrono::seconds Span { 3 };
-    /// A peak counts for this long: demand that has just fallen may rise again.
-    static constexpr std::chrono::seconds Remembered { 12 };
+    static constexpr std::size_t MaxRates = 96;
+    static constexpr std::size_t MinRates = 8;
+    /// Shorter prompts measure the engine's fixed delays rather than its read rate.
+    static constexpr double MinPromptTokens = 3000;
+    /// Long enough that a single long prompt does not look like a rise in demand.
+    static constexpr std::chrono::seconds RateWindow { 3 };
+    /// A peak counts for this long, because demand that has just fallen may rise again.
+    static constexpr std::chrono::seconds PeakWindow { 12 };
 
-    /// Part of the best rate that is kept with each prompt: engines don't slow down, but what was
-    /// measured may belong to servers that have been replaced. A thousand prompts halve it.
-    static constexpr double RateKept = 0.9993;
+    /// Factor applied to the best rate with each prompt: engines do not slow down, but the measured
+    /// servers may have been replaced since. A thousand prompts halve it.
+    static constexpr double BestRateDecay = 0.9993;
 
     [[nodiscard]] static double upperRate(const std::deque<double> &rates);
 
@@ -65,12 +72,12 @@
         std::uint64_t series = 0;
         ServiceWork work;
     };
-    struct Total
+    struct WorkSample
     {
         SteadyTime time;
         ServiceWork work;
     };
-    struct Need
+    struct DemandSample
     {
         SteadyTime time;
         double servers = 0;
@@ -82,9 +89,9 @@
     std::map<std::string, Peer> m_peers;
     /// Work of all instances together; it only grows.
     ServiceWork m_total;
-    ServiceWork m_ownCounted;
-    std::deque<Total> m_totals;
-    std::map<std::string, std::deque<Need>> m_needs;
+    ServiceWork m_ownWorkInTotal;
+    std::deque<WorkSample> m_workSamples;
+    std::map<std::string, std::deque<DemandSample>> m_demandSamples;
 };
 
 } // namespace snipestall::serving
--- a/include/snipestall/serving/duty_lease.hpp
+++ b/include/snipestall/serving/duty_lease.hpp
@@ -9,63 +9,71 @@
 
 namespace snipestall::serving {
 
-/// The lease row: who may act on the system's behalf, and under which fencing number.
+/// The stored lease: which process may act on behalf of all instances, and with which fencing
+/// token.
 struct LeaseRow
 {
-    /// Name and process of the holder; empty when it was given up.
+    /// Name and process of the holder; empty after the lease was released.
     std::string holder;
-    /// Grows by one whenever the holder changes.
+    /// Fencing token; it grows by one whenever the holder changes.
     std::int64_t fence = 0;
 };
 
-/// The write that a lease asks for, on condition that the row still has `expectedVersion`.
+/// A conditional write of the lease row; it succeeds only if the row still has `expectedVersion`.
 struct LeaseWrite
 {
     LeaseRow row;
-    /// 0: the row must not exist yet.
+    /// 0 means that the row must not exist yet.
     std::int64_t expectedVersion = 0;
 };
 
-/// Decides who may act alone. Pure: the caller reads and writes the row and says what came of it.
+/// Decides which instance may act alone. The class does no I/O: its user reads and writes the row
+/// and reports the results.
 ///
-/// Failure: a holder is paused, its lease lapses and another one acts; then it wakes and goes on.
-/// It shows as two instances that act in turns. The holder therefore counts its lease from before
-/// it sent the renewal that succeeded, on a clock that also runs while it is suspended, and asks
-/// `holds` right before each act; a follower takes over only after it has itself seen the row
-/// unchanged for longer than a lease.
+/// Failure: the holder is suspended, its lease expires and another instance takes over; then the
+/// first one resumes and continues to act. It shows as two instances that act alternately. The
+/// holder therefore counts its lease from before it sent the renewal that succeeded, on a clock
+/// that also runs while the machine is suspended, and calls holds() right before each action.
+/// Another instance takes over only after it has itself seen the row unchanged for longer than the
+/// lease.
 class DutyLease
 {
 public:
-    /// `self` must be new for each process, or a restarted one would inherit its old lease.
+    /// `self` must be different for each process, otherwise a restarted process would inherit its
+    /// old lease. `length` is the duration of the lease.
     DutyLease(std::string self, std::chrono::milliseconds length);
 
-    /// Whether this instance is one of the few that compete for the lease; all do by default. The
-    /// others step in when no holder has been heard for a while.
+    /// Sets whether this instance is one of the few that compete for the lease; by default every
+    /// instance is. The other instances take part when no holder has been reported for a while.
     ///
-    /// Load: hundreds of instances start at once, or lose the holder at once. Harm: each reads the
-    /// row and tries to write it, and all but one in vain.
+    /// Load: hundreds of instances start at once, or lose the holder at once. Harm: each of them
+    /// reads the row and tries to write it, and all but one of these writes fail.
     void setCandidate(bool candidate, SteadyTime now);
+    /// Whether this instance may act now.
     [[nodiscard]] bool holds(SteadyTime now) const;
     [[nodiscard]] std::int64_t fence() const { return m_row.fence; }
-    /// Whether the row should be read or written now, given when the holder was last heard of.
+    /// Whether the row should be read or written now, depending also on when the holder last
+    /// reported.
     [[nodiscard]] bool wantsRead(SteadyTime now) const;
     [[nodiscard]] std::optional<LeaseWrite> wantsWrite(SteadyTime now) const;
-    /// The write that gives the lease up, if it is held.
+    /// The write that releases the lease; nothing if this instance does not hold it.
     [[nodiscard]] std::optional<LeaseWrite> release() const;
 
-    /// The row as read; version 0 if there is none.
+    /// The row was read; version 0 means that it does not exist.
     void sawRow(const LeaseRow &row, std::int64_t version, SteadyTime now);
+    /// The write succeeded and gave the row this version.
     void wrote(const LeaseWrite &write, std::int64_t version, SteadyTime sentAt);
-    /// The write may or may not have taken effect: only a read can tell.
+    /// It is not known whether the write took effect; only a read can tell.
     void writeUnknown();
-    /// A peer that says it holds the lease was heard; nothing needs to be read meanwhile.
+    /// A peer that reports itself as the holder has sent a report; the row need not be read for a
+    /// while.
     void holderHeard(SteadyTime now);
 
 private:
     [[nodiscard]] bool isOwn() const { return m_row.holder == m_self; }
-    /// Leaves the lease to the candidates.
-    [[nodiscard]] bool standsBy(SteadyTime now) const;
-    [[nodiscard]] std::chrono::milliseconds renewEvery() const { return m_length / 3; }
+    /// Whether this instance leaves the lease to the candidates for now.
+    [[nodiscard]] bool isStandby(SteadyTime now) const;
+    [[nodiscard]] std::chrono::milliseconds renewalInterval() const { return m_length / 3; }
 
     std::string m_self;
     std::chrono::milliseconds m_length;
@@ -73,14 +81,14 @@
     std::int64_t m_version = 0;
     bool m_known = false;
     bool m_mustRead = true;
-    /// Set while this instance is no candidate.
+    /// Set while this instance is not a candidate.
     std::optional<SteadyTime> m_standbySince;
     SteadyTime m_validUntil;
     SteadyTime m_renewedAt;
-    /// When the present version was first seen.
-    SteadyTime m_seenSince;
+    /// When the current version was first seen.
+    SteadyTime m_versionSeenAt;
     SteadyTime m_readAt;
-    SteadyTime m_holderHeard;
+    SteadyTime m_holderReportedAt;
 };
 
 } // namespace snipestall::serving
--- a/include/snipestall/serving/fleet_planner.hpp
+++ b/include/snipestall/serving/fleet_planner.hpp
@@ -10,14 +10,14 @@
 
 namespace snipestall::serving {
 
-/// Servers of one service in one data centre that take work.
+/// Servers of one service in one data centre that accept requests.
 struct FleetCount
 {
     int onDemand = 0;
     int reclaimable = 0;
 };
 
-/// How many servers of one kind are wanted in one data centre.
+/// An order for the number of servers of one kind that a service has to have in one data centre.
 struct FleetOrder
 {
     std::string dataCentre;
@@ -27,133 +27,146 @@
     bool operator==(const FleetOrder &) const = default;
 };
 
-/// By which estimate the on-demand servers of a plan are counted.
+/// The estimate by which the number of on-demand servers was determined.
 enum class FleetEstimate {
-    /// What the operators started with: the demand is not known yet.
+    /// The number that the operators started with, because the demand is not known yet.
     Usual,
-    /// What the demand needs beside the reclaimable servers that are there.
+    /// What the demand needs in addition to the present reclaimable servers.
     Demand,
-    /// What it needs beside those that are left if more are taken back before others can start.
+    /// What the demand needs in addition to the reclaimable servers that remain if more of them are
+    /// reclaimed before others can start.
     Insurance,
 };
 
-/// The name of an estimate in the log.
+/// The name of an estimate in log lines.
 const char *toString(FleetEstimate estimate);
 
-/// What is known of a service's demand.
+/// The measured demand for a service.
 struct FleetDemand
 {
-    /// Servers that would be needed if they were fully used, at the highest of the last seconds; 0
-    /// while that is not known.
+    /// Number of fully used servers that would be needed, as the highest of the last seconds; 0 if
+    /// unknown.
     double servers = 0;
-    /// The same just now.
+    /// The number needed at the moment.
     double serversNow = 0;
-    /// Whether any request has come yet.
-    bool any = false;
+    /// Whether any request has arrived yet.
+    bool hasRequests = false;
 };
 
-/// Decides how many servers of one service run where, and of which kind.
+/// Decides how many servers of one service run in which data centre, and of which kind.
 ///
-/// Load: demand that follows the time of day, jumps, and data centres whose reclaimable servers are
-/// all taken back on seconds of notice while none are to be had. Harm: on-demand servers cost
-/// several times as much for the same work; without any, the loss of reclaimable ones leaves the
-/// rest overloaded until others start. So reclaimable servers carry the demand with enough of a
-/// surplus that the others carry it without one data centre; on-demand ones run only while fewer
-/// servers are there than the measured demand needs, in the cheapest data centres.
+/// Load: demand follows the time of day and jumps, and all reclaimable servers of a data centre may
+/// be reclaimed within seconds of the notice while no others can be obtained. Harm: on-demand
+/// servers cost several times as much for the same work, but without any of them the loss of
+/// reclaimable servers leaves the remaining ones overloaded until others have started. Reclaimable
+/// servers therefore carry the demand, with a surplus large enough that the other data centres can
+/// replace any single one. On-demand servers run only while there are fewer servers than the
+/// measured demand needs, in the cheapest data centres.
 ///
-/// Once reclaimable servers are refused somewhere, one data centre after the other may lose its
-/// own, and what is ordered only then serves a start time later: with all four taken back within
-/// ten seconds, no server was left for two of them, and those that came found a backlog that kept
-/// itself up for 15 s more. So from the first refusal on, on-demand servers are ordered for what is
-/// left if one more data centre goes next: those that are left have their shared prompts cached and
-/// can carry the demand for a while, fully used; those that start have not, and count with
-/// `ColdUse` only. It ends with the shortage.
+/// Once reclaimable servers are refused in one data centre, the others may lose theirs one after
+/// the other, and a server that is ordered only then serves after its start time: when all four
+/// data centres lost theirs within ten seconds, no server was left for two seconds, and the servers
+/// that started met a backlog that persisted for another 15 s. From the first refusal on, on-demand
+/// servers are therefore ordered for the case that one more data centre loses its reclaimable
+/// servers. The remaining servers have the shared prompts cached and can carry the demand for a
+/// while, fully used; newly started servers have not, and count only with `ColdCapacity`. This ends
+/// with the shortage.
 class FleetPlanner
 {
 public:
-    /// `usual`: servers that the operators started with, by data centre.
+    /// `usual`: number of servers that the operators started with, by data centre.
     FleetPlanner(ScalingPolicy policy, const std::map<std::string, int> &usual);
 
-    /// What part of the target latency the slower tenth of requests waits for its first byte: how
-    /// near the fleet is to being too small. To be told a few times a second.
+    /// Reports which part of the target latency the slowest tenth of requests waits for its first
+    /// byte, as a measure of how close the fleet is to being too small. To be called a few times
+    /// per second.
     void pressure(double partOfTarget, SteadyTime now);
-    /// Orders to be sent now; the caller reports back what came of each.
+    /// Returns the orders to be sent now; the result of each is reported with accepted() or
+    /// refused().
     [[nodiscard]] std::vector<FleetOrder> plan(const std::map<std::string, FleetCount> &counts,
                                                FleetDemand demand, SteadyTime now);
+    /// The order was accepted.
     void accepted(const FleetOrder &order, SteadyTime now);
-    /// The order was not taken; none of this kind may be had there at the moment.
+    /// The order was refused; servers of this kind may not be available in that data centre at the
+    /// moment.
     void refused(const FleetOrder &order, SteadyTime now);
+    /// Factor by which the fleet has been enlarged because of the latency.
     [[nodiscard]] double scale() const { return m_scale; }
-    /// By which the on-demand servers of the last plan were counted.
+    /// The estimate by which the on-demand servers of the last plan were counted.
     [[nodiscard]] FleetEstimate estimate() const { return m_estimate; }
 
 private:
-    /// Use at which queues stay short: a server that is busy a third of the time rarely has a long
-    /// prompt before another.
-    static constexpr double ComfortableUse = 0.35;
-    /// Use above which prompts queue up behind each other; on-demand servers keep the fleet below.
-    /// They cost five times as much and more: in a long shortage of reclaimable ones, 0.6 paid for
-    /// twice the servers and served no more callers in time.
-    static constexpr double CrowdedUse = 0.8;
-    /// Part of a server that starts in a shortage which can be counted on: it has read no prompts
-    /// yet, which nearly doubles the work until the shared parts are cached again.
-    static constexpr double ColdUse = 0.5;
-    /// The least that is kept, as a part of the number that the operators started with: demand may
-    /// come back faster than servers start.
-    static constexpr double LeastOfUsual = 1.5;
-    /// Above this pressure the fleet grows: a queue that takes half of the target leaves no room
-    /// for the next jump.
-    static constexpr double GrowAbove = 0.55;
-    static constexpr double GrowBy = 1.25;
-    /// Below this pressure, for `ShrinkAfter` at a stretch, the fleet shrinks.
-    static constexpr double ShrinkBelow = 0.25;
-    static constexpr double ShrinkBy = 0.9;
+    /// Utilisation at which queues stay short: on a server that is busy a third of the time, a
+    /// prompt rarely waits for a long one.
+    static constexpr double TargetUtilisation = 0.35;
+    /// Utilisation above which prompts queue up behind each other; on-demand servers keep the fleet
+    /// below it. They cost at least five times as much as reclaimable ones: in a long shortage of
+    /// those, a limit of 0.6 cost twice as many servers and served no more callers in time.
+    static constexpr double MaxUtilisation = 0.8;
+    /// Part of the capacity of a server started in a shortage that can be counted on: the server
+    /// has no prompts cached yet, which nearly doubles the work until the shared parts are cached
+    /// again.
+    static constexpr double ColdCapacity = 0.5;
+    /// The smallest fleet that is kept, relative to the number of servers that the operators
+    /// started with: demand may return faster than servers start.
+    static constexpr double MinPartOfUsual = 1.5;
+    /// The fleet grows above this pressure: a queue that takes half of the target latency leaves no
+    /// room for the next jump in demand.
+    static constexpr double GrowThreshold = 0.55;
+    static constexpr double GrowFactor = 1.25;
+    /// The fleet shrinks once the pressure has been below this value for `ShrinkAfter` without
+    /// interruption.
+    static constexpr double ShrinkThreshold = 0.25;
+    static constexpr double ShrinkFactor = 0.9;
     static constexpr std::chrono::seconds ShrinkAfter { 15 };
-    static constexpr double LeastScale = 1;
-    static constexpr double MostScale = 4;
-    /// Pause after a refusal, and between repeats of an order that has not come true.
-    static constexpr std::chrono::milliseconds RepeatPause { 2000 };
+    static constexpr double MinScale = 1;
+    static constexpr double MaxScale = 4;
+    /// Pause after a refusal, and between repetitions of an order that has not been fulfilled.
+    static constexpr std::chrono::milliseconds RetryPause { 2000 };
 
-    struct Kind
+    struct OrderState
     {
-        /// -1: nothing ordered yet.
+        /// -1 if nothing has been ordered yet.
         int ordered = -1;
-        SteadyTime askedAt;
+        SteadyTime lastOrderAt;
         bool refused = false;
     };
-    struct Place
+    struct DataCentreState
     {
         int usual = 0;
-        Kind reclaimable;
-        Kind onDemand;
+        OrderState reclaimable;
+        OrderState onDemand;
     };
 
     /// Reclaimable servers wanted in each data centre.
     [[nodiscard]] int reclaimableWanted(FleetDemand demand) const;
+    /// On-demand servers wanted, by data centre.
     [[nodiscard]] std::map<std::string, int>
     onDemandWanted(const std::map<std::string, FleetCount> &counts, FleetDemand demand);
     /// On-demand servers wanted in all data centres together.
     [[nodiscard]] int onDemandMissing(const std::map<std::string, FleetCount> &counts,
                                       FleetDemand demand);
-    /// Reclaimable ones are refused in some data centre.
-    [[nodiscard]] bool shortage() const;
-    /// On-demand servers that carry the demand together with those that are left once the data
-    /// centre with the most reclaimable ones has lost them.
-    [[nodiscard]] static int insured(const std::map<std::string, FleetCount> &counts,
-                                     double servers);
+    /// Whether reclaimable servers are refused in any data centre.
+    [[nodiscard]] bool hasShortage() const;
+    /// On-demand servers needed to carry the demand together with the reclaimable servers that
+    /// remain after the data centre with most of them has lost its own.
+    [[nodiscard]] static int insuranceNeeded(const std::map<std::string, FleetCount> &counts,
+                                             double servers);
     [[nodiscard]] int usualTotal() const;
-    [[nodiscard]] std::vector<std::string> cheapestFirst() const;
-    [[nodiscard]] bool due(const Kind &kind, int wanted, int present, SteadyTime now) const;
-    static Kind &kindOf(Place &place, bool reclaimable)
+    [[nodiscard]] std::vector<std::string> dataCentresByPrice() const;
+    /// Whether an order for `wanted` servers has to be sent now.
+    [[nodiscard]] bool isDue(const OrderState &state, int wanted, int present,
+                             SteadyTime now) const;
+    static OrderState &orderStateOf(DataCentreState &state, bool reclaimable)
     {
-        return reclaimable ? place.reclaimable : place.onDemand;
+        return reclaimable ? state.reclaimable : state.onDemand;
     }
 
     ScalingPolicy m_policy;
-    std::map<std::string, Place> m_places;
+    std::map<std::string, DataCentreState> m_dataCentres;
     double m_scale = 1;
     SteadyTime m_scaledAt;
-    SteadyTime m_calmSince;
+    SteadyTime m_lowPressureSince;
     FleetEstimate m_estimate = FleetEstimate::Usual;
 };
 
--- a/include/snipestall/serving/lapse_window.hpp
+++ b/include/snipestall/serving/lapse_window.hpp
@@ -6,36 +6,41 @@
 
 namespace snipestall::serving {
 
-/// When an entry that disappears from the list of backend servers may merely have lapsed.
+/// The time during which an entry that disappears from the list of backend servers may merely have
+/// expired.
 ///
-/// Failure: the list's store is away for so long that entries of servers that live lapse; their
-/// removals arrive right after its return, before the servers have listed themselves again. It
-/// shows as an instance without servers, or, as an id that left never comes back, with too few for
-/// good. Whoever hears of the list again after a silence long enough for that, from the store or
-/// from a peer, keeps disappearing entries for a while. The while is shorter than the time in which
-/// a server that really leaves must get nothing new any more.
+/// Failure: the store of the list is unavailable for so long that entries of running servers
+/// expire; their removals arrive right after the store has returned, before the servers have listed
+/// themselves again. It shows as an instance without servers, or, because an id that has left is
+/// not accepted again, permanently with too few. An instance that receives the list again after a
+/// gap that is long enough for this, from the store or from a peer, therefore keeps disappearing
+/// entries for a while. That while is shorter than the time after which a server that really leaves
+/// must not get new requests.
 class LapseWindow
 {
 public:
-    /// `heartbeat`: how often servers renew their entries; `drain`: the bound for leaving servers.
+    /// `heartbeat`: interval at which servers renew their entries; `drain`: how long a leaving
+    /// server still serves.
     LapseWindow(std::chrono::milliseconds heartbeat, std::chrono::milliseconds drain);
 
-    /// The list was heard of again; until now it was known to be complete as of `age` ago.
+    /// The list was received; before that, it was known to be complete as of `age` ago.
     void heard(std::chrono::milliseconds age, SteadyTime now);
+    /// Whether a disappearing entry may merely have expired.
     [[nodiscard]] bool open(SteadyTime now) const { return now < m_until; }
     [[nodiscard]] SteadyTime until() const { return m_until; }
-    /// How long an entry that may merely have lapsed is kept.
+    /// How long an entry that may merely have expired is kept.
     [[nodiscard]] std::chrono::milliseconds length() const { return m_length; }
 
 private:
-    /// Servers that live have listed themselves again this long after the store's return.
+    /// Running servers have listed themselves again this long after the store has returned.
     static constexpr std::chrono::milliseconds RelistTime { 2000 };
-    /// Kept of the drain bound for the housekeeping's pace and what is on its way.
+    /// Part of the drain time that is reserved for the interval of the housekeeping and for
+    /// messages under way.
     static constexpr std::chrono::milliseconds DrainMargin { 600 };
-    /// Entries lapse after three heartbeats; the silence seen here may be a little shorter.
-    static constexpr int HeartbeatsOfSilence = 2;
+    /// Entries expire after three heartbeats; the gap observed here may be a little shorter.
+    static constexpr int MinGapHeartbeats = 2;
 
-    std::chrono::milliseconds m_silence;
+    std::chrono::milliseconds m_minGap;
     std::chrono::milliseconds m_length;
     SteadyTime m_until;
 };
--- a/include/snipestall/serving/latency_pressure.hpp
+++ b/include/snipestall/serving/latency_pressure.hpp
@@ -9,22 +9,24 @@
 
 namespace snipestall::serving {
 
-/// How long requests of each service wait for their first byte, as a part of their route's target.
+/// How long requests of each service wait for their first byte, relative to the target latency of
+/// their route.
 class LatencyPressure
 {
 public:
+    /// A request got its first byte after `partOfTarget` times the target latency.
     void firstByte(const std::string &service, double partOfTarget, SteadyTime now);
-    /// The value that nine tenths of the last seconds' requests stay below; 0 without requests.
+    /// The 90th percentile of the last seconds; 0 without requests.
     [[nodiscard]] double highest(const std::string &service, SteadyTime now);
 
 private:
     static constexpr std::chrono::seconds Window { 4 };
-    static constexpr std::size_t MostSamples = 2000;
+    static constexpr std::size_t MaxSamples = 2000;
 
     struct Sample
     {
         SteadyTime time;
-        double part = 0;
+        double partOfTarget = 0;
     };
 
     std::unordered_map<std::string, std::deque<Sample>> m_services;
--- a/include/snipestall/serving/loop_lag.hpp
+++ b/include/snipestall/serving/loop_lag.hpp
@@ -7,16 +7,17 @@
 
 namespace snipestall::serving {
 
-/// How late a process comes to its events, measured with ticks that are due at even intervals.
+/// Measures how late a process handles its events, by ticks that are due at regular intervals.
 ///
-/// Load: an instance with little processor time has more callers' and peers' messages than it can
-/// handle. Harm: what it decides by, and the time from which it counts a bound, are as late as its
-/// events. A tick waits in the same queue as they do, so its delay is theirs.
+/// Load: an instance with little processor time receives more messages of callers and peers than it
+/// can handle. Harm: the information on which it bases decisions, and the start of each time limit,
+/// are as late as its events. A tick waits in the same queue as these events, so it has the same
+/// delay.
 class LoopLag
 {
 public:
     static constexpr std::chrono::milliseconds Tick { 50 };
-    /// Timers and short bursts stay below it on an instance that keeps up.
+    /// The lag of timers and short bursts stays below this on an instance that keeps up.
     static constexpr std::chrono::milliseconds LateAfter { 250 };
 
     explicit LoopLag(SteadyTime now);
@@ -25,16 +26,16 @@
     void ticked(SteadyTime due, SteadyTime now);
     /// Delay of the last tick.
     [[nodiscard]] std::chrono::milliseconds last() const { return m_last; }
-    /// Greatest delay since the call before.
+    /// Returns the greatest delay since the previous call, and resets it.
     std::chrono::milliseconds takeWorst();
-    /// An event that is handled now has happened at this time or later.
+    /// An event that is handled now occurred at this time or later.
     [[nodiscard]] SteadyTime earliestArrival() const { return m_handled.front(); }
 
 private:
     std::chrono::milliseconds m_last { 0 };
     std::chrono::milliseconds m_worst { 0 };
-    /// When the last ticks were handled, the oldest first. The loop may hand an event on twice,
-    /// with a tick in between each time.
+    /// When the last ticks were handled, the oldest first. The event loop may requeue an event
+    /// twice, with a tick in between each time.
     std::array<SteadyTime, 3> m_handled;
 };
 
--- a/include/snipestall/serving/member_usage.hpp
+++ b/include/snipestall/serving/member_usage.hpp
@@ -10,43 +10,48 @@
 
 namespace snipestall::serving {
 
-/// Who stores the usage counts of a window that has ended.
+/// Decides which instance stores the usage counts of a window that has ended.
 ///
-/// Load: every instance has counts of every window; in a large fleet that is hundreds of writes in
-/// a few seconds. So a hub stores what its members have told it, and tells each of them up to which
-/// window that is done. Failure: a hub is killed, or hears a member's last report too late; it
-/// shows as a usage report that is too low. A member therefore stores its counts itself when its
-/// hub has not told in time that it has.
+/// Load: every instance has counts for every window; in a large fleet that is hundreds of writes
+/// within a few seconds. A hub therefore stores the counts that its members have reported, and
+/// reports to each of them up to which window it has done so. Failure: a hub is killed, or receives
+/// the last report of a member too late; it shows as a usage report that is too low. A member
+/// therefore stores its counts itself when its hub has not confirmed in time that it has stored
+/// them.
 class MemberUsage
 {
 public:
-    /// After the end of a window its members' last reports are here.
+    /// This long after the end of a window, the last reports of the members have arrived.
     static constexpr std::chrono::milliseconds HubStoresAfter { 600 };
-    /// By then a hub that lives has stored the counts and said so.
-    static constexpr std::chrono::milliseconds OwnStoreAfter { 1500 };
+    /// By this time after the end of a window, a running hub has stored the counts and confirmed
+    /// it.
+    static constexpr std::chrono::milliseconds MemberStoresAfter { 1500 };
 
-    /// As a hub: a member says that its counts of the windows up to this one are final.
+    /// Hub only: a member reports that its counts of the windows up to this one are final.
     void closed(const std::string &process, std::int64_t window);
-    /// Members whose counts of the window are final.
+    /// Hub only: the members whose counts of the window are final.
     [[nodiscard]] std::vector<std::string> finalIn(std::int64_t window) const;
-    /// What these members told of the window, and of those before, is stored.
+    /// Hub only: the counts that these members reported for the window and for earlier ones are
+    /// stored.
     void stored(const std::vector<std::string> &processes, std::int64_t window);
-    /// Up to which window a member's counts are stored; 0 for none.
+    /// Hub only: the last window up to which the counts of a member are stored; 0 for none.
     [[nodiscard]] std::int64_t storedUpTo(const std::string &process) const;
     [[nodiscard]] bool hasMembers() const { return !m_members.empty(); }
-    /// Forgets members that have closed no window since this one.
+    /// Removes members that have closed no window since this one.
     void dropBefore(std::int64_t window);
 
-    /// As a member: the hub was heard, and has stored this instance's counts up to a window.
+    /// Member only: the hub has reported that the counts of this instance are stored up to a
+    /// window.
     void hubStored(std::int64_t window, SteadyTime now);
     /// Whether the hub has stored the counts of a window.
     [[nodiscard]] bool storedByHub(std::int64_t window) const { return window <= m_storedByHub; }
-    /// Whether the hub may still store the counts of a window that ended this long ago.
+    /// Whether storing the counts of a window that ended `sinceEnd` ago may still be left to the
+    /// hub.
     [[nodiscard]] bool leftToHub(std::chrono::milliseconds sinceEnd, SteadyTime now) const;
 
 private:
-    /// A hub that is silent for longer than several intervals stores nothing for this instance.
-    static constexpr std::chrono::milliseconds HubHeardWithin { 1000 };
+    /// A hub that has not reported for several intervals stores nothing for this instance.
+    static constexpr std::chrono::milliseconds HubTimeout { 1000 };
 
     struct Member
     {
@@ -56,7 +61,7 @@
 
     std::map<std::string, Member> m_members;
     std::int64_t m_storedByHub = 0;
-    SteadyTime m_hubHeard;
+    SteadyTime m_lastHubReport;
 };
 
 } // namespace snipestall::serving
--- a/include/snipestall/serving/overlay.hpp
+++ b/include/snipestall/serving/overlay.hpp
@@ -8,41 +8,43 @@
 
 namespace snipestall::serving {
 
-/// An instance as the overlay sees it.
+/// What the overlay knows of an instance.
 struct OverlayPeer
 {
     std::string dataCentre;
-    /// Processor time that it has, in thousandths of a core; 0 if it is not known.
+    /// Available processor time in thousandths of a core; 0 if unknown.
     std::uint32_t milliCores = 0;
 
     bool operator==(const OverlayPeer &other) const = default;
 };
 
-/// Who exchanges reports with whom.
+/// Decides which instances exchange reports with each other.
 ///
-/// Load: every instance needs the sum of what all others have at each server. Harm: with each pair
-/// talking, messages grow with the square of the instances. Up to `MostHubs` instances all talk to
-/// each other; beyond, each data centre has a few hubs, the others talk to one of them only, and
-/// hubs pass on sums. Hubs are the instances with the most processor time: one that is late with
-/// its members' reports is late with its own callers, too. Everybody computes the hubs from what it
-/// knows; whoever is called as a hub acts as one, so views that differ for a moment cost a detour
-/// and nothing else.
+/// Load: every instance needs the sum of the load that all others have at each server. Harm: if
+/// each pair of instances exchanged reports, the number of messages would grow with the square of
+/// the number of instances. Up to `MaxHubs` instances, all call each other; beyond that, each data
+/// centre has a few hubs, the other instances call only one of them, and the hubs pass on sums. The
+/// hubs are the instances with the most processor time, because a hub that handles its members'
+/// reports late also serves its own callers late. Every instance computes the hubs from what it
+/// knows, and an instance that is called as a hub acts as one, so views that differ for a moment
+/// only cost a detour.
 class Overlay
 {
 public:
-    /// Calls of an instance stay near this number per interval, whatever the number of instances.
-    static constexpr std::size_t MostHubs = 12;
+    /// An instance makes about this many calls per interval, whatever the number of instances.
+    static constexpr std::size_t MaxHubs = 12;
 
     Overlay(std::string self, OverlayPeer own);
 
-    /// `peers`: each other instance that can be reached.
+    /// Recomputes the hubs. `peers`: all other instances that can be reached.
     void update(const std::map<std::string, OverlayPeer> &peers);
     [[nodiscard]] bool isHub() const { return m_isHub; }
-    /// One instance of each data centre reads the store for the others.
+    /// Whether this is the one instance of its data centre that reads the store for the others.
     [[nodiscard]] bool isReader() const { return m_isReader; }
-    /// The instances that this one is to call.
+    /// The instances that this one has to call.
     [[nodiscard]] const std::vector<std::string> &targets() const { return m_targets; }
-    /// As a hub that others have taken this instance for.
+    /// The other hubs; called by an instance that others use as a hub although it is not one in its
+    /// own view.
     [[nodiscard]] const std::vector<std::string> &hubs() const { return m_hubs; }
 
 private:
@@ -51,7 +53,7 @@
     bool m_isHub = true;
     bool m_isReader = true;
     std::vector<std::string> m_targets;
-    /// All hubs but this instance.
+    /// All hubs except this instance.
     std::vector<std::string> m_hubs;
 };
 
--- a/include/snipestall/serving/peer_loads.hpp
+++ b/include/snipestall/serving/peer_loads.hpp
@@ -10,25 +10,26 @@
 
 namespace snipestall::serving {
 
-/// What the other instances have at each backend server, as they last said. A statement that has
-/// grown old counts for nothing: its requests have ended meanwhile.
+/// The load of the other instances at each backend server, as they last reported it. Reports that
+/// have become too old count for nothing, because their requests have ended since.
 class PeerLoads
 {
 public:
     using Loads = std::unordered_map<std::string, ServerLoad>;
 
+    /// Replaces what `peer` has reported before.
     void report(const std::string &peer, Loads loads, SteadyTime now);
     void forget(const std::string &peer);
-    /// Sum over all peers heard of lately.
+    /// Sum over all peers that have reported recently.
     [[nodiscard]] ServerLoad at(const std::string &server, SteadyTime now) const;
 
 private:
-    /// Several missed heartbeats; about as long as a short generation runs.
-    static constexpr std::chrono::milliseconds LongestAge { 2500 };
+    /// Several missed reports; about the duration of a short generation.
+    static constexpr std::chrono::milliseconds MaxReportAge { 2500 };
 
     struct Report
     {
-        SteadyTime heard;
+        SteadyTime receivedAt;
         Loads loads;
     };
 
--- a/include/snipestall/serving/placement.hpp
+++ b/include/snipestall/serving/placement.hpp
@@ -17,53 +17,56 @@
 class PeerLoads;
 struct Service;
 
-/// What a request asks of a backend server.
+/// What a request needs from a backend server.
 struct Demand
 {
     const Service *service = nullptr;
-    /// Set for generations only.
+    /// Set only for generations.
     std::optional<Prompt> prompt;
-    /// Whether another server may go on with it when this one is lost.
+    /// Whether another server may continue the request if the chosen one is lost.
     bool mayRepeat = true;
-    /// Fingerprint of a request that no server is known to have answered; nothing for others.
+    /// Fingerprint of a request that no server is known to have answered; not set for other
+    /// requests.
     std::optional<std::uint64_t> untried;
-    /// Servers that this request has been sent to already, by key.
+    /// Keys of the servers that this request has already been sent to.
     std::unordered_set<std::string> tried;
 };
 
-/// The chosen server and what the request adds to its load.
+/// The chosen server and the load that the request adds to it.
 struct Placed
 {
     ServerStatePtr server;
-    /// Prompt tokens that the engine has to read, as far as is known.
+    /// Prompt tokens that the engine still has to read, as far as is known.
     double unreadTokens = 0;
-    /// Prompt tokens waiting ahead of it there.
+    /// Prompt tokens that are queued ahead of the request on this server.
     double tokensAhead = 0;
-    /// Requests that all instances have there, as far as is known.
+    /// Requests of all instances in flight at this server, as far as is known.
     std::uint32_t inFlight = 0;
 };
 
-/// Chooses the backend server of a request. Every instance sends to every server, from its own
-/// exact counts and its peers' last statements.
+/// Chooses the backend server of a request. Every instance sends to every server and bases its
+/// choice on its own exact counts and on the last reports of its peers.
 ///
-/// Load: many instances with a few requests each choose at the same moment among servers whose
-/// prompt caches differ. Harm: without a common rule each shared prompt is read by every server,
-/// and a long prompt delays all tokens of the server that reads it. So the cost of a server is the
-/// prompt tokens that wait there plus those of this request that it has not cached; which server
-/// caches a shared part is agreed without messages by rendezvous hashing of the part. A part asked
-/// for too often spills to the next server as soon as the queue costs more than reading it anew.
+/// Load: many instances with a few requests each choose at the same moment among servers with
+/// different prompt caches. Harm: without a common rule every server reads each shared prompt, and
+/// a long prompt delays all tokens of the server that reads it. The cost of a server is therefore
+/// the number of prompt tokens queued there plus the tokens of this request that it has not cached.
+/// The instances agree without messages on the server that caches a shared part, by rendezvous
+/// hashing of that part. Requests for a part that is requested too often spill over to the next
+/// server as soon as the queue costs more than reading the part again.
 class Placement
 {
 public:
-    /// `dataCentre`: where this instance is.
+    /// `dataCentre`: the data centre of this instance; `seed`: seed of the random tie-breaks.
     Placement(const ServerTable &servers, const PeerLoads &peers, std::string dataCentre,
               std::uint64_t seed);
 
-    /// Nothing if no server of the service takes work.
+    /// Returns nothing if no server of the service accepts requests.
     [[nodiscard]] std::optional<Placed> choose(const Demand &demand, SteadyTime now);
-    /// The request was sent: its shared parts are cached there from now on. Servers are named by
-    /// their keys.
+    /// The request was sent, so its shared parts are cached on `server` from now on. `server` is
+    /// the key of the server.
     void sent(const Demand &demand, const std::string &server, SteadyTime now);
+    /// Forgets what is cached on a server, given by its key.
     void serverGone(const std::string &server);
 
 private:
@@ -74,8 +77,10 @@
                                          SteadyTime now) const;
     [[nodiscard]] Placed chooseForCall(const Demand &demand,
                                        const std::vector<ServerStatePtr> &servers, SteadyTime now);
-    /// From 0 to 1.
+    /// Cost between 0 and 1 that decides between servers with the same load.
     [[nodiscard]] double tieBreak(const Demand &demand, const ServerState &server);
+    /// Prompt tokens that `server` has to read. `preferred`: id of the server that caches the
+    /// shared part.
     [[nodiscard]] double uncached(const Prompt &prompt, const ServerState &server,
                                   const std::string &preferred, SteadyTime now) const;
 
--- a/include/snipestall/serving/prompt.hpp
+++ b/include/snipestall/serving/prompt.hpp
@@ -6,7 +6,8 @@
 
 namespace snipestall::serving {
 
-/// A run of prompt tokens that an engine caches as one. Requests share the leading parts.
+/// A run of prompt tokens that an engine caches as a unit. Requests may have the leading parts in
+/// common.
 struct PromptPart
 {
     std::uint64_t id = 0;
@@ -19,7 +20,7 @@
     std::string model;
     std::uint32_t promptTokens = 0;
     std::uint32_t maxOutputTokens = 0;
-    /// In prompt order; the last part belongs to the request itself or to its session.
+    /// In the order of the prompt; the last part belongs to the request itself or to its session.
     std::vector<PromptPart> parts;
 };
 
--- a/include/snipestall/serving/prompt_cache_map.hpp
+++ b/include/snipestall/serving/prompt_cache_map.hpp
@@ -10,29 +10,31 @@
 
 namespace snipestall::serving {
 
-/// Which backend servers this instance has lately had read a shared prompt part. An estimate: an
-/// engine may have dropped the part since, which costs the reading of it and nothing else.
+/// The backend servers to which this instance has recently sent each shared prompt part. This is an
+/// estimate: an engine may have evicted the part since, which costs only the time to read it again.
 class PromptCacheMap
 {
 public:
-    void used(std::uint64_t part, const std::string &server, SteadyTime now);
+    /// A request with this part was sent to `server`.
+    void recordUse(std::uint64_t part, const std::string &server, SteadyTime now);
+    /// Whether `server` probably has the part cached.
     [[nodiscard]] bool holds(std::uint64_t part, const std::string &server, SteadyTime now) const;
     void forgetServer(const std::string &server);
 
 private:
-    /// Parts remembered; some 100 bytes each.
-    static constexpr std::size_t MostParts = 8192;
-    /// A part unused for longer has likely been replaced in the engine's cache.
-    static constexpr std::chrono::seconds LongestAge { 30 };
+    /// Maximum number of parts; each takes some 100 bytes.
+    static constexpr std::size_t MaxParts = 8192;
+    /// A part that has not been used for longer has probably been evicted from the engine's cache.
+    static constexpr std::chrono::seconds MaxAge { 30 };
 
-    struct Holders
+    struct PartUse
     {
         std::unordered_map<std::string, SteadyTime> lastUse;
-        std::list<std::uint64_t>::iterator position;
+        std::list<std::uint64_t>::iterator orderPosition;
     };
 
-    std::unordered_map<std::uint64_t, Holders> m_parts;
-    /// Least recently used first.
+    std::unordered_map<std::uint64_t, PartUse> m_parts;
+    /// Least recently used part first.
     std::list<std::uint64_t> m_order;
 };
 
--- a/include/snipestall/serving/quota_keeper.hpp
+++ b/include/snipestall/serving/quota_keeper.hpp
@@ -15,69 +15,73 @@
 
 namespace snipestall::serving {
 
-/// Whether a request fits a customer's quota.
+/// The decision whether a request fits into the quota of a customer.
 struct QuotaVerdict
 {
     bool admitted = true;
-    /// When refused: how long until as much is free again.
+    /// For a refused request: time until the same amount may be free again.
     std::chrono::milliseconds retryAfter { 0 };
-    /// What decided it: units that were free, and the customer's rate in units a second.
+    /// For a refused request: the units that were free, and the rate of the customer in units per
+    /// second.
     double free = 0;
     double rate = 0;
 };
 
-/// How far the instances together may exceed a quota in any window, so that the time they need to
-/// hear from each other does not cost a customer what is within its quota.
+/// By how much all instances together may exceed a quota in any window, so that the delay of the
+/// reports between them does not cost a customer a part of its quota.
 struct QuotaTolerance
 {
     std::chrono::milliseconds window { 0 };
-    /// Part of what the window allows.
+    /// Part of what the quota allows in the window.
     double overrun = 0;
-    /// Units besides.
+    /// Additional units.
     double units = 0;
 };
 
-/// A peer as it reports use.
+/// What a peer reports about itself together with its use.
 struct QuotaPeer
 {
-    /// Totals of another series say nothing of how these have grown.
+    /// Identifies the totals; totals of another series cannot be compared with earlier ones.
     std::uint64_t series = 0;
-    /// Instances that it speaks for, and how many of them it has heard within some heartbeats.
+    /// Number of instances whose use the peer reports, and how many of them have reported to it
+    /// within the last heartbeats.
     std::uint32_t instances = 1;
-    std::uint32_t heardInstances = 1;
-    /// It is this instance's hub: it speaks for the whole fleet.
-    bool speaksForAll = false;
+    std::uint32_t reportingInstances = 1;
+    /// Whether the peer is the hub of this instance, whose report covers all instances.
+    bool isHub = false;
 };
 
-/// Units of one customer's quota since a process started. The totals only grow.
+/// Units of one customer's quota since a process started. The first two are totals that only grow.
 struct QuotaTotals
 {
     double taken = 0;
-    /// What was asked for, refused requests included.
+    /// Units requested, including refused requests.
     double asked = 0;
-    /// What instances that miss their reports are taken to have used since; not in the totals.
-    double unheardTaken = 0;
-    /// Units a second that those instances are asked for.
-    double unheardAsked = 0;
+    /// Estimated use, since their last report, of instances whose reports are overdue; not included
+    /// in the totals.
+    double estimatedTaken = 0;
+    /// Units per second that are requested from those instances.
+    double estimatedAskedRate = 0;
 };
 
 using QuotaUse = std::unordered_map<std::string, QuotaTotals>;
 
-/// Quotas that all instances share, without asking anyone per request.
+/// Quotas that all instances share, without a message per request.
 ///
-/// Load: a customer sends several times its quota to all instances at once. Harm: instances that
-/// each admit from the whole quota overshoot it by their number; instances that each admit a fixed
-/// part refuse a customer whose connections hash to few of them. So each instance keeps the whole
-/// bucket, drains it by its own takes and by what its peers say they took, and reckons with what
-/// each peer takes until it is heard again at the rate it last showed. The share of a peer that is
-/// known but silent is not refilled: it may be serving behind a network partition.
+/// Load: a customer sends several times its quota to all instances at once. Harm: if each instance
+/// admitted from the whole quota, the instances would exceed it by a factor of their number; if
+/// each admitted a fixed part, they would refuse requests of a customer whose connections hash to
+/// few instances. Each instance therefore keeps the whole bucket, drains it by its own use and by
+/// the use that its peers report, and assumes that each peer continues at its last observed rate
+/// until the next report arrives. The share of a known peer that has not reported recently is not
+/// refilled, because that peer may still be serving behind a network partition.
 ///
-/// While more is asked for than there is, instances that all see the bucket fill up would all
-/// admit at the same moment, and then refuse everything until the debt is paid; small requests
-/// would slip in wherever a large one has to wait. So below half of the burst each request, of
-/// whatever size, is admitted with the chance that the supply has to serve the demand. Requests
-/// that are tiny beside the rate are exempt as long as the debt is small: refusing them serves
-/// nobody else.
+/// While more is requested than is available, instances that all see the bucket fill up would all
+/// admit requests at the same moment and then refuse everything until the debt is paid, and small
+/// requests would be admitted wherever a large one has to wait. Below half of the burst, each
+/// request of any size is therefore admitted with a probability of supply divided by demand.
+/// Requests that are tiny relative to the rate are exempt as long as the debt is small, because
+/// refusing them does not help any other request.
 class QuotaKeeper
 {
 public:
@@ -86,64 +90,72 @@
         , m_random(seed)
     { }
 
-    /// Keeps fill levels; a new customer starts with its whole burst.
+    /// Sets the quotas. Buckets of known customers keep their level; a new customer starts with its
+    /// whole burst.
     void configure(const std::vector<Customer> &customers, SteadyTime now);
 
-    /// This process started while others may be serving. Its buckets start in debt. Until it has
-    /// heard the others they fill at its part of the rate only, and not at all before
-    /// `registeredInstances` is told.
+    /// To be called if this process starts while other instances may be serving. Its buckets start
+    /// in debt. Until the other instances have reported, the buckets fill only at the share of this
+    /// instance in the rate, and not at all before setRegisteredInstances() has been called.
     void startedAmongOthers(SteadyTime now);
-    /// Instances that are registered, this one included.
+    /// Sets the number of registered instances, including this one.
     void registeredInstances(std::size_t count) { m_registered = count; }
 
+    /// Takes `units` from the quota of `customer`, if the request is admitted.
     QuotaVerdict take(const std::string &customer, double units, SteadyTime now);
-    /// Units taken for a request that did not run.
+    /// Gives back the units taken for a request that did not run.
     void giveBack(const std::string &customer, double units);
+    /// The totals of this process.
     [[nodiscard]] const QuotaUse &ownUse() const { return m_ownUse; }
 
-    /// A peer's totals, for itself or for all instances it speaks for.
-    void peerUse(const std::string &peer, QuotaPeer who, const QuotaUse &use, SteadyTime now);
+    /// Applies the totals that a peer reports, for itself or for all instances that it covers.
+    void peerUse(const std::string &peer, QuotaPeer info, const QuotaUse &use, SteadyTime now);
 
-    /// What a peer says is told by another one, too.
+    /// Drops a peer whose use another peer also reports.
     void forgetPeer(const std::string &peer) { m_peers.erase(peer); }
 
 private:
-    /// A peer silent for longer is taken as stopped: its share goes to the others.
-    static constexpr std::chrono::seconds PeerKeptFor { 12 };
-    /// A peer silent for longer than several heartbeats may be behind a partition.
-    static constexpr std::chrono::milliseconds PeerHeardWithin { 1500 };
-
-    /// A peer that is heard later has missed a report: what it is asked for does not fall
-    /// meanwhile.
+    /// A peer that has not reported for longer is taken as stopped, and its share goes to the
+    /// others.
+    static constexpr std::chrono::seconds PeerExpiry { 12 };
+    /// A peer that has not reported for longer than this, which is several heartbeats, may be
+    /// behind a partition.
+    static constexpr std::chrono::milliseconds PeerTimeout { 1500 };
+
+    /// The report of a peer is overdue after this time; the demand at that peer is then assumed not
+    /// to fall any further.
     static constexpr std::chrono::milliseconds ReportInterval { 200 };
 
-    /// After a restart peers are heard within this time, or are gone.
-    static constexpr std::chrono::seconds JoiningFor { 5 };
-    /// Debt, in time of the rate, with which a process that joins others starts: what all instances
-    /// gave out just before, and what each gives out until it has heard the others, is not known
-    /// here. With 0.5 s a flood through a restart of 20 instances exceeded the bound by 1%.
-    static constexpr std::chrono::milliseconds JoiningDebt { 700 };
-    /// By then a process that joins has two reports of each other one, over hubs as well.
+    /// After a restart, every peer that still runs has reported within this time.
+    static constexpr std::chrono::seconds JoinPeriod { 5 };
+    /// Debt, as time at the full rate, with which a process starts that joins others, because it
+    /// does not know what all instances admitted just before, nor what each of them admits until it
+    /// has received the reports of the others. With 0.5 s, a flood during a restart of 20 instances
+    /// exceeded the bound by 1%.
+    static constexpr std::chrono::milliseconds JoinDebt { 700 };
+    /// Within this time a joining process has received two reports of every other process,
+    /// including those that hubs pass on.
     static constexpr std::chrono::milliseconds RatesKnownAfter { 1200 };
-    /// Part of the tolerance that is given out as a higher rate; the rest is kept for what several
-    /// instances admit at the same moment. With 0.8 a flood at nine
-    /// instances exceeded the bound by 0.7%.
-    static constexpr double UsedTolerance = 0.5;
-    /// Part of the burst below which admission is shared out by chance: above it, what the others
-    /// take until they are heard does not empty the bucket.
-    static constexpr double PlentifulPart = 0.5;
-    /// In which time what is left in the bucket is given out besides the rate, or a debt is paid:
-    /// several exchanges of reports, so that the instances follow each other.
-    static constexpr std::chrono::milliseconds LevelledWithin { 1000 };
-    /// Requests of up to this much of the rate are tiny: a hundred a second of them use it up.
+    /// Part of the tolerance that is used as a higher rate; the rest is reserved for what several
+    /// instances admit at the same moment. With 0.8, a flood at nine instances exceeded the bound
+    /// by 0.7%.
+    static constexpr double ToleranceInRate = 0.5;
+    /// Part of the burst below which requests are admitted at random. Above it, the use of the
+    /// other instances until their next reports does not empty the bucket.
+    static constexpr double UnrestrictedPart = 0.5;
+    /// Time within which the remaining level of the bucket is used up in addition to the rate, or a
+    /// debt is paid: several exchanges of reports, so that the instances can follow each other.
+    static constexpr std::chrono::milliseconds BalancingTime { 1000 };
+    /// Requests of up to this much time at the full rate are tiny: a hundred of them per second use
+    /// up the rate.
     static constexpr std::chrono::milliseconds TinyRequest { 10 };
-    /// Debt, as a part of the burst, up to which tiny requests are admitted; it bounds a flood of
-    /// nothing else.
-    static constexpr double TinyDebt = 0.25;
-    /// Over which time demand is averaged: as long as a surplus lasts that is given out.
-    static constexpr std::chrono::milliseconds AskedOver { 1000 };
-    /// Over which time a peer's takes are averaged, to reckon with those not yet heard of.
-    static constexpr std::chrono::milliseconds TakenOver { 500 };
+    /// Debt, as a part of the burst, up to which tiny requests are admitted; it limits a flood that
+    /// consists only of tiny requests.
+    static constexpr double MaxDebtForTiny = 0.25;
+    /// Averaging period of the demand: as long as the time in which a surplus is used up.
+    static constexpr std::chrono::milliseconds DemandPeriod { 1000 };
+    /// Averaging period of the use of a peer, for estimating its use since its last report.
+    static constexpr std::chrono::milliseconds UsePeriod { 500 };
 
     struct Bucket
     {
@@ -157,60 +169,69 @@
         DecayingRate taken;
         DecayingRate asked;
     };
-    /// One customer when a hub was last heard.
-    struct AtReport
+    /// State of one customer at the time of the last report of the hub.
+    struct LevelAtReport
     {
         double level = 0;
         double ownTaken = 0;
     };
     struct PeerUse
     {
-        QuotaPeer who;
-        SteadyTime heard;
+        QuotaPeer info;
+        SteadyTime lastReportAt;
         QuotaUse totals;
         std::unordered_map<std::string, Rates> rates;
-        /// Of a hub only.
-        std::unordered_map<std::string, AtReport> atReport;
-        /// A hub that has fallen silent: what the fleet is taken to have used since, by customer.
+        /// Used only for a hub.
+        std::unordered_map<std::string, LevelAtReport> levelsAtReport;
+        /// For a hub whose reports are overdue: the estimated use of all instances since its last
+        /// report, by customer.
         std::unordered_map<std::string, double> charged;
     };
 
     void refill(Bucket &bucket, SteadyTime now) const;
-    [[nodiscard]] static QuotaTotals toldBy(const PeerUse &peer, const std::string &customer);
-    [[nodiscard]] double expectedPeerTakes(const std::string &customer, SteadyTime now) const;
-    /// Drains what the fleet has used since `hub` was heard, at the rates that it showed.
-    void chargeUnheard(PeerUse &hub, SteadyTime now);
-    void chargeSilentHub(SteadyTime now);
-    void noteLevels(PeerUse &hub);
+    [[nodiscard]] static QuotaTotals reportedTotals(const PeerUse &peer,
+                                                    const std::string &customer);
+    /// Estimated use of the peers since their last reports.
+    [[nodiscard]] double estimatedPeerUse(const std::string &customer, SteadyTime now) const;
+    /// Drains the estimated use of all instances since the last report of `hub`, at the last
+    /// observed rates.
+    void chargeEstimatedUse(PeerUse &hub, SteadyTime now);
+    void chargeOverdueHub(SteadyTime now);
+    /// Records the levels at the time of the report of `hub`.
+    void recordLevels(PeerUse &hub);
     [[nodiscard]] double ownTaken(const std::string &customer) const;
+    /// Gives back what was drained as an estimate since the last report of `hub`.
     void refundCharged(PeerUse &hub);
-    void noteAsked(const std::string &customer, double units, SteadyTime now);
-    /// Units a second that all instances are asked for, a request of `units` that has just come
-    /// included.
+    void recordDemand(const std::string &customer, double units, SteadyTime now);
+    /// Units per second that are requested from all instances, including a request of `units` that
+    /// has just arrived.
     [[nodiscard]] double demand(const std::string &customer, double units, SteadyTime now) const;
-    /// Chance, 0 to 1, that a request is admitted now.
-    [[nodiscard]] double admissionChance(const std::string &customer, const Bucket &bucket,
-                                         double units, double free, SteadyTime now) const;
+    /// Probability, from 0 to 1, that a request is admitted now.
+    [[nodiscard]] double admissionProbability(const std::string &customer, const Bucket &bucket,
+                                              double units, double free, SteadyTime now) const;
+    /// Time after which the caller of a refused request is told to try again.
     [[nodiscard]] static std::chrono::milliseconds
-    pauseAfterRefusal(const Bucket &bucket, double units, double free, double chance);
+    pauseAfterRefusal(const Bucket &bucket, double units, double free, double probability);
+    /// Whether this process has joined others so recently that not all have reported yet.
     [[nodiscard]] bool isJoining(SteadyTime now) const;
-    /// Part of the fleet that has been heard within some heartbeats.
+    /// Part of all instances that have reported within the last heartbeats.
     [[nodiscard]] double refillShare(SteadyTime now) const;
     void forgetStoppedPeers(SteadyTime now);
-    /// `peer` speaks for the whole fleet from now on.
+    /// Makes `peer` the hub, whose reports cover all instances from now on.
     void followHub(const std::string &peer, SteadyTime now);
 
-    [[nodiscard]] double usedRate(const Customer &customer) const;
+    /// The rate of the quota plus the part of the tolerance that is used as a higher rate.
+    [[nodiscard]] double effectiveRate(const Customer &customer) const;
 
     QuotaTolerance m_tolerance;
     std::optional<SteadyTime> m_joinedAt;
     std::size_t m_registered = 0;
     std::map<std::string, Bucket> m_buckets;
     std::map<std::string, PeerUse> m_peers;
-    /// The peer that spoke for the whole fleet last, and what the one before it said.
+    /// The last hub, and what the hub before it reported about itself.
     std::string m_hub;
-    QuotaPeer m_hubBefore;
-    SteadyTime m_hubBeforeHeard;
+    QuotaPeer m_previousHub;
+    SteadyTime m_previousHubReportAt;
     QuotaUse m_ownUse;
     std::unordered_map<std::string, DecayingRate> m_ownAsked;
     Random m_random;
--- a/include/snipestall/serving/retry_allowance.hpp
+++ b/include/snipestall/serving/retry_allowance.hpp
@@ -10,23 +10,23 @@
 
 namespace snipestall::serving {
 
-/// How many repeats a service may get from all instances together.
+/// How many repeated attempts all instances together may send to a service.
 struct RetryLimits
 {
     std::chrono::milliseconds window { 10000 };
     /// Repeats allowed per first attempt.
     double ratio = 0.2;
-    /// Repeats allowed besides, over all instances.
+    /// Additional repeats allowed per window, over all instances.
     double slack = 0;
 };
 
-/// Limits the repeats that this instance sends to each service.
+/// Limits the repeated attempts that this instance sends to each service.
 ///
-/// Load: servers fail or lose answers in numbers, so that most attempts call for a repeat. Harm:
-/// repeats add load to servers that already fail, and the failure keeps itself going. Repeats are
-/// limited to a part of the first attempts of the last window, counted here, and to this
-/// instance's part of the fixed allowance, so the instances together stay within the limit without
-/// a message between them.
+/// Load: many servers fail or lose answers, so that most attempts have to be repeated. Harm:
+/// repeats add load to servers that already fail, and so keep the failure going. Repeats are
+/// limited to a part of the first attempts in the last window, as counted by this instance, plus
+/// this instance's share of the fixed allowance, so all instances together stay within the limit
+/// without any messages between them.
 class RetryAllowance
 {
 public:
@@ -34,14 +34,17 @@
         : m_limits(limits)
     { }
 
+    /// Sets the number of instances that share the fixed allowance.
     void setInstances(std::size_t count) { m_instances = count; }
+    /// Counts a first attempt.
     void first(const std::string &service, SteadyTime now);
-    /// Takes one repeat out; false when the window's allowance is used up.
+    /// Takes one repeat from the allowance of the window; returns false if it is used up.
     bool repeat(const std::string &service, SteadyTime now);
 
 private:
     static constexpr std::size_t Slices = 20;
-    /// Windows slide at both ends and instances count apart, so a part is kept in reserve.
+    /// The rest is kept in reserve, because windows slide at both ends and the instances count
+    /// separately.
     static constexpr double UsedPart = 0.7;
 
     struct Slice
--- a/include/snipestall/serving/route.hpp
+++ b/include/snipestall/serving/route.hpp
@@ -6,15 +6,15 @@
 
 namespace snipestall::serving {
 
-/// What may be repeated of a request.
+/// Whether a request may be repeated after a failure.
 enum class Repeatability {
     Idempotent,
     NonIdempotent,
-    /// An event stream; it may be repeated only where its route says that it can be resumed.
+    /// An event stream; it may be repeated only if its route declares it resumable.
     Stream,
 };
 
-/// One of the services that a route's requests are divided over.
+/// One of the services among which the requests of a route are divided.
 struct RouteTarget
 {
     std::string service;
@@ -31,15 +31,16 @@
     Repeatability kind = Repeatability::NonIdempotent;
     std::chrono::milliseconds timeout { 0 };
     std::chrono::milliseconds targetLatency { 0 };
-    /// Longest pause between events for which a stream is still on time.
+    /// Longest pause between two events with which a stream is still on time.
     std::chrono::milliseconds targetGap { 0 };
     /// 0 is the most urgent.
     int priority = 0;
     std::vector<RouteTarget> targets;
-    /// Backend servers that one attempt of a caller may be sent to.
+    /// Maximum number of backend servers to which one attempt of a caller may be sent.
     int attemptLimit = 1;
-    /// Needs no key.
+    /// Whether requests need no key.
     bool anonymous = false;
+    /// Whether a stream can be resumed on another server.
     bool resumable = false;
 
     [[nodiscard]] bool isStream() const { return kind == Repeatability::Stream; }
--- a/include/snipestall/serving/scaling_policy.hpp
+++ b/include/snipestall/serving/scaling_policy.hpp
@@ -6,17 +6,17 @@
 
 namespace snipestall::serving {
 
-/// Within which bounds, and at what prices, backend servers of a service may be ordered.
+/// The limits within which backend servers of a service may be ordered, and their prices.
 struct ScalingPolicy
 {
-    /// Per data centre, reclaimable and on-demand servers together.
+    /// Limits per data centre, for reclaimable and on-demand servers together.
     int least = 1;
     int most = 1;
-    /// From an order until the new server serves.
+    /// Time from an order until the new server accepts requests.
     std::chrono::milliseconds bootTime { 0 };
-    /// Price of a reclaimable server as a part of an on-demand one's.
+    /// Price of a reclaimable server relative to an on-demand server.
     double reclaimablePrice = 1;
-    /// Price of a server-second in each data centre.
+    /// Price of a server-second by data centre.
     std::map<std::string, double> dataCentrePrices;
 };
 
--- a/include/snipestall/serving/server_load.hpp
+++ b/include/snipestall/serving/server_load.hpp
@@ -4,13 +4,13 @@
 
 namespace snipestall::serving {
 
-/// Work that some instance has at one backend server.
+/// Load that one instance has placed on one backend server.
 struct ServerLoad
 {
     std::uint32_t inFlight = 0;
-    /// Prompt tokens of requests whose first token has not come yet.
+    /// Prompt tokens of requests whose first token has not arrived yet.
     double pendingTokens = 0;
-    /// Prompt tokens of all requests in flight: what they occupy of the KV cache.
+    /// Prompt tokens of all requests in flight, which is what they occupy of the KV cache.
     double heldTokens = 0;
 
     ServerLoad &operator+=(const ServerLoad &other)
--- a/include/snipestall/serving/server_speed.hpp
+++ b/include/snipestall/serving/server_speed.hpp
@@ -5,29 +5,32 @@
 
 namespace snipestall::serving {
 
-/// How fast one backend server is beside the others of its service.
+/// The speed of one backend server relative to the other servers of its service.
 ///
-/// Load: servers of one service differ in speed, and a long prompt takes most of its target latency
-/// on a fast one. Harm: on a slow one it is late whatever else runs there. Servers don't tell their
-/// speed; the pause between the events of their streams does, since a slower engine takes longer
-/// for every step. Pauses are compared between servers only, never with a fixed figure.
+/// Load: the servers of one service differ in speed, and a long prompt takes most of its target
+/// latency on a fast one. Harm: on a slow server it is late, whatever else runs there. Servers do
+/// not report their speed, but it can be derived from the pause between the events of their
+/// streams, because a slower engine takes longer for every step. Pauses are compared only between
+/// servers, never with a fixed value.
 class ServerSpeed
 {
 public:
-    /// The usual pause between the events of a stream that this server has just ended.
+    /// Adds the median pause between the events of a stream that has just ended on this server.
     void sawPause(std::chrono::duration<double> pause);
+    /// Average pause between two events; nothing before the first stream has ended.
     [[nodiscard]] std::optional<std::chrono::duration<double>> pause() const { return m_pause; }
-    /// Compares with the usual pause of all servers of the service.
+    /// Updates slowness() by the median pause of all servers of the service.
     void compareWith(std::chrono::duration<double> usual);
-    /// Time that the same work takes here, as a part of what it usually takes.
+    /// Time that work takes on this server, relative to the other servers of the service.
     [[nodiscard]] double slowness() const { return m_slowness; }
 
 private:
-    /// Weight of the newest stream: some five streams are remembered.
+    /// Weight of the newest stream; the average covers about the last five streams.
     static constexpr double Smoothing = 0.2;
-    /// A server that is slower than this is overloaded or failing, which others look after.
-    static constexpr double LeastSlowness = 0.6;
-    static constexpr double MostSlowness = 2;
+    /// A server that is slower than `MaxSlowness` is overloaded or failing, which other rules
+    /// handle.
+    static constexpr double MinSlowness = 0.6;
+    static constexpr double MaxSlowness = 2;
 
     std::optional<std::chrono::duration<double>> m_pause;
     double m_slowness = 1;
--- a/include/snipestall/serving/server_table.hpp
+++ b/include/snipestall/serving/server_table.hpp
@@ -16,94 +16,102 @@
 
 namespace snipestall::serving {
 
-/// One incarnation of a backend server with what this instance knows of it. All of it, and all that
-/// is kept elsewhere under `key`, ends with the incarnation: one that starts again under the same
-/// id holds no prompts, runs nothing, and has failed nobody.
+/// One incarnation of a backend server and what this instance knows about it. All of this, and
+/// everything that is stored elsewhere under `key`, belongs to the incarnation only: a server that
+/// starts again under the same id has no cached prompts, runs nothing and has not failed any
+/// request.
 struct ServerState
 {
     BackendServer info;
-    /// Names the incarnation; the same at every instance.
+    /// Identifies the incarnation; the same at every instance.
     std::string key;
-    /// Work of this instance alone.
+    /// Load of this instance alone.
     ServerLoad own;
     ServerHealth health;
     ServerSpeed speed;
-    /// When it last sent this instance a byte.
+    /// When this instance last received a byte from the server.
     SteadyTime heardAt;
-    /// Set while the server is reclaimed: until when it serves for certain, on this instance's
-    /// clock.
+    /// Set while the server is being reclaimed: until when it certainly serves, on the clock of
+    /// this instance.
     std::optional<SteadyTime> leavesAt;
-    /// Gone from the list, or from its address; work that runs there goes on, nothing new is sent.
+    /// Whether the server has disappeared from the list or from its address. Requests that run
+    /// there continue, but no new ones are sent.
     bool departed = false;
 
+    /// Whether new requests may be sent to the server.
     [[nodiscard]] bool takesWork() const { return !departed && !info.leaving; }
 };
 
 using ServerStatePtr = std::shared_ptr<ServerState>;
 
-/// What an entry of the list changed.
+/// The result of adding an entry to the table.
 struct Listing
 {
     enum class Kind {
         Added,
         Changed,
-        /// It is older than what is known.
+        /// The entry is older than what is known.
         Ignored,
-        /// Its incarnation had left the list; it serves again once it has proved that it lives.
+        /// The incarnation had left the list; it serves again once its entry has stayed listed for
+        /// long enough.
         Returning,
     };
     Kind kind = Kind::Ignored;
-    /// An incarnation that the entry shows to have ended; null if none.
+    /// The incarnation that has ended according to the entry; null if none.
     ServerStatePtr ended;
 };
 
-/// The backend servers this instance knows of.
+/// The backend servers that this instance knows.
 ///
-/// Failure: copies of an entry arrive late, from a peer or from a write that was under way, and
-/// work goes to a server that has left or to one that has meanwhile started again under the same
-/// id. It shows as requests that reach a server after it has said that it leaves, or as a server
-/// that is judged by what an earlier incarnation did. So entries are ordered by incarnation,
-/// leaving is final for one, and one that has left the list serves again only if it stays listed
-/// for longer than an entry stays that nobody renews: a server that was cut off from the list's
-/// keeper does, a late copy does not.
+/// Failure: a copy of an entry arrives late, from a peer or from a write that was under way, and
+/// requests go to a server that has left or to one that has since started again under the same id.
+/// It shows as requests that reach a server after it has announced that it leaves, or as a server
+/// that is rated by what an earlier incarnation did. Entries are therefore ordered by incarnation,
+/// and leaving is final for an incarnation. An incarnation that has left the list serves again only
+/// if it stays listed for longer than an entry stays that is not renewed: a server that was cut off
+/// from the store of the list renews its entry, but nobody renews a late copy.
 class ServerTable
 {
 public:
-    /// `drain`: for how long a server serves on after it has said that it leaves; `heartbeat`: how
-    /// often a server renews its entry.
+    /// `drain`: how long a server continues to serve after it has announced that it leaves;
+    /// `heartbeat`: interval at which a server renews its entry.
     explicit ServerTable(std::chrono::milliseconds drain = std::chrono::milliseconds(2000),
                          std::chrono::milliseconds heartbeat = std::chrono::milliseconds(1200))
         : m_drain(drain)
-        , m_proofTime(heartbeat * HeartbeatsUntilLapse + ListDelay)
+        , m_readmitDelay(heartbeat * HeartbeatsUntilExpiry + ListPropagationDelay)
     { }
 
+    /// Adds or updates a server by an entry of the list.
     Listing put(const BackendServer &server, SteadyTime now);
-    /// The entry left the list. Returns the incarnation that it named; null if none was known.
+    /// The entry was removed from the list. Returns the incarnation that it named; null if none was
+    /// known.
     ServerStatePtr remove(const std::string &id);
-    /// The entry left the list while the list's keeper was away: it is taken as gone at `until`
-    /// unless it is listed again before.
+    /// The entry was removed from the list while the store of the list was unavailable. The server
+    /// is taken as gone at `until` unless it is listed again before.
     void lapse(const std::string &id, SteadyTime until);
-    /// Removes the lapsed entries whose time has come, and returns them. Unlike one that left, a
-    /// server whose entry lapsed serves again once it lists itself.
+    /// Removes the expired entries whose time has come, and returns their servers. Unlike a server
+    /// that left, a server whose entry expired serves again as soon as it is listed again.
     std::vector<ServerStatePtr> expireLapsed(SteadyTime now);
-    /// Lets servers serve that came back under an incarnation that had left and stayed listed long
-    /// enough. Returns them.
+    /// Readmits the servers whose incarnation had left the list and which have been listed again
+    /// for long enough. Returns them.
     std::vector<ServerStatePtr> readmit(SteadyTime now);
 
-    /// A server can't be reached, broke off or did not answer in time.
+    /// A server cannot be reached, broke the connection or did not answer in time.
     void lost(ServerState &server, SteadyTime now);
-    /// Another incarnation answers at its address, whatever the list still says: it has ended.
+    /// Another incarnation answers at the address of this one, so this one has ended, whatever the
+    /// list still contains.
     static void replaced(ServerState &server) { server.departed = true; }
-    /// A server gave a whole answer.
+    /// A server sent a complete answer.
     void answered(ServerState &server);
-    /// False while a server, or its whole data centre, is to be avoided.
+    /// False while the server or its whole data centre should be avoided.
     [[nodiscard]] bool usable(const ServerState &server, SteadyTime now) const;
 
-    /// Compares the servers of each service with each other; to be called now and then.
+    /// Compares the speeds of the servers of each service; to be called periodically.
     void compareSpeeds();
 
+    /// The current incarnation of a server; null if none is listed.
     [[nodiscard]] ServerStatePtr find(const std::string &id) const;
-    /// Entries of a service in the order of their ids.
+    /// The servers of a service, ordered by id.
     [[nodiscard]] std::vector<ServerStatePtr> ofService(const std::string &service) const;
     [[nodiscard]] const std::map<std::string, ServerStatePtr> &all() const { return m_servers; }
 
@@ -111,27 +119,29 @@
     struct Returning
     {
         BackendServer info;
-        SteadyTime provedAt;
+        SteadyTime readmitAt;
     };
 
     ServerStatePtr drop(const std::string &id);
-    Listing awaitProof(const BackendServer &server, SteadyTime now);
+    Listing awaitRenewals(const BackendServer &server, SteadyTime now);
     void update(ServerState &state, const BackendServer &server, SteadyTime now) const;
 
-    /// Ids that have left are remembered up to this many; at the planned size several days.
-    static constexpr std::size_t MostDeparted = 20000;
-    /// An entry that nobody renews is removed after this many heartbeats.
-    static constexpr int HeartbeatsUntilLapse = 3;
-    /// From the removal of an entry until every instance has heard of it: some reports' way.
-    static constexpr std::chrono::milliseconds ListDelay { 800 };
+    /// Maximum number of ids of departed servers that are remembered; at the planned size this
+    /// covers several days.
+    static constexpr std::size_t MaxDeparted = 20000;
+    /// An entry that is not renewed is removed after this many heartbeats.
+    static constexpr int HeartbeatsUntilExpiry = 3;
+    /// Time from the removal of an entry until every instance knows of it, which takes a few
+    /// reports.
+    static constexpr std::chrono::milliseconds ListPropagationDelay { 800 };
 
     std::chrono::milliseconds m_drain;
-    std::chrono::milliseconds m_proofTime;
+    std::chrono::milliseconds m_readmitDelay;
     std::map<std::string, ServerStatePtr> m_servers;
-    /// When the last incarnation that left was born, by id.
+    /// Start of the last incarnation that left, by id.
     std::unordered_map<std::string, WallTime> m_departed;
     std::unordered_map<std::string, Returning> m_returning;
-    std::unordered_map<std::string, SteadyTime> m_lapsed;
+    std::unordered_map<std::string, SteadyTime> m_expiring;
     std::map<std::string, DataCentreHealth> m_dataCentres;
 };
 
--- a/include/snipestall/serving/service.hpp
+++ b/include/snipestall/serving/service.hpp
@@ -7,13 +7,13 @@
 
 namespace snipestall::serving {
 
-/// Fixed figures of a service's model engines.
+/// Fixed properties of the model engines of a service.
 struct EngineProfile
 {
     int slots = 1;
-    /// Tokens that fit into an engine's KV cache.
+    /// Capacity of the KV cache of an engine, in tokens.
     double cacheTokens = 0;
-    /// Whether an engine can hand a run in progress over to another one.
+    /// Whether an engine can hand a running request over to another engine.
     bool movesRuns = false;
 };
 
@@ -21,9 +21,9 @@
 struct Service
 {
     std::string name;
-    /// Set for model engines only.
+    /// Set only for model engines.
     std::optional<EngineProfile> engine;
-    /// Set where servers can be ordered.
+    /// Set if servers of this service can be ordered.
     std::optional<ScalingPolicy> scaling;
 };
 
--- a/include/snipestall/serving/shutdown_plan.hpp
+++ b/include/snipestall/serving/shutdown_plan.hpp
@@ -7,31 +7,37 @@
 
 namespace snipestall::serving {
 
-/// What a process that has been asked to stop may still do, by the time since the signal.
+/// What a process that was asked to stop may still do, depending on the time since the signal.
 ///
 /// Load: instances are replaced while callers keep their connections and the store may not answer.
-/// Harm: a request taken too late is cut when the grace ends. So every bound follows from the time
-/// of the signal alone; nothing that the process waits for moves one.
+/// Harm: a request that is accepted too late is cut off when the grace period ends. Every time
+/// limit therefore follows from the time of the signal alone; nothing that the process waits for
+/// moves a limit.
 class ShutdownPlan
 {
 public:
-    /// New connections may come until the readiness has been asked for a few times, once a second.
+    /// New connections may arrive until the readiness has been queried a few times, once per
+    /// second.
     static constexpr std::chrono::milliseconds TakeWorkFor { 2700 };
-    /// Before the end of the grace: what still runs gets its last answer.
-    static constexpr std::chrono::milliseconds LastAnswersMargin { 500 };
-    /// Before the end of the grace: the process ends.
+    /// Before the end of the grace period: time at which requests that still run get their last
+    /// answer.
+    static constexpr std::chrono::milliseconds LastAnswerMargin { 500 };
+    /// Before the end of the grace period: time at which the process ends.
     static constexpr std::chrono::milliseconds EndMargin { 100 };
 
-    /// `signalled`: when the signal came, or earlier if that is not known.
+    /// `signalled`: when the signal arrived, or an earlier time if that is not known; `grace`: the
+    /// grace period.
     ShutdownPlan(SteadyTime signalled, std::chrono::milliseconds grace);
 
+    /// Whether new requests are still accepted.
     [[nodiscard]] bool takesWork(SteadyTime now) const { return now < m_refuseAt; }
-    /// Requests that still run can't be finished: they get their last answer. `lag`: how late the
-    /// process comes to its events; an answer takes some of them.
+    /// Whether requests that still run can no longer be finished and have to get their last answer.
+    /// `lag`: how late the process handles its events; an answer takes several events.
     [[nodiscard]] bool mustAnswer(SteadyTime now, std::chrono::milliseconds lag) const
     {
-        return now + EventsToAnswer * lag >= m_answerAt;
+        return now + EventsToAnswer * lag >= m_lastAnswerAt;
     }
+    /// Whether the process has to end now.
     [[nodiscard]] bool mustEnd(SteadyTime now, std::chrono::milliseconds lag) const
     {
         return now + EventsToEnd * lag >= m_endAt;
@@ -44,7 +50,7 @@
 
     SteadyTime m_signalled;
     SteadyTime m_refuseAt;
-    SteadyTime m_answerAt;
+    SteadyTime m_lastAnswerAt;
     SteadyTime m_endAt;
 };
 
--- a/include/snipestall/serving/stall_rule.hpp
+++ b/include/snipestall/serving/stall_rule.hpp
@@ -6,23 +6,25 @@
 
 namespace snipestall::serving {
 
-/// What is known of an attempt that has no answer yet.
+/// What is known of an attempt without an answer.
 struct WaitingAttempt
 {
     SteadyTime sentAt;
-    /// When the server last gave this instance any byte, on any connection.
-    SteadyTime serverHeardAt;
-    /// How long the server needs to read what waits there and this request's prompt.
+    /// When this instance last received any byte from the server, on any connection.
+    SteadyTime serverLastByteAt;
+    /// Predicted time in which the server reads the prompts queued there and the prompt of this
+    /// request.
     std::chrono::duration<double> predicted { 0 };
 };
 
-/// Whether an attempt that may be repeated elsewhere should be given up where it is.
+/// Whether an attempt that may be repeated elsewhere should be given up.
 ///
-/// Load: a server goes dark, or the path to it is cut, with requests under way. Harm: they wait for
-/// the connection's timeout, which is longer than their target latency. An attempt is given up when
-/// it waits far beyond its predicted time and the server has said nothing to anyone here since.
-/// A server that streams to others is busy, not gone, and is left alone: repeating its requests
-/// elsewhere would only add to the load that makes it slow.
+/// Load: a server loses its power, or the path to it is cut, while requests are in flight. Harm:
+/// they wait for the timeout of the connection, which is longer than their target latency. An
+/// attempt is given up when it has waited far longer than predicted and this instance has not
+/// received anything from the server during that time. A server that streams to other requests is
+/// busy, not gone, and its requests are not given up: repeating them elsewhere would only add to
+/// the load that makes it slow.
 bool isStalled(const WaitingAttempt &attempt, SteadyTime now);
 
 } // namespace snipestall::serving
--- a/include/snipestall/serving/stream_pace.hpp
+++ b/include/snipestall/serving/stream_pace.hpp
@@ -9,19 +9,21 @@
 
 namespace snipestall::serving {
 
-/// Time between the events of one stream, from when they arrive.
+/// Measures the time between the events of one stream, by their arrival.
 class StreamPace
 {
 public:
+    /// An event arrived.
     void event(SteadyTime now);
-    /// The usual pause; nothing while too few events have come.
+    /// The median pause; nothing while too few events have arrived.
     [[nodiscard]] std::optional<std::chrono::duration<double>> median() const;
 
 private:
-    /// Fewer pauses say more about a single long prompt beside the stream than about the server.
-    static constexpr std::size_t FewestPauses = 6;
-    /// Enough for a median; the rest of a long stream adds nothing.
-    static constexpr std::size_t MostPauses = 40;
+    /// Fewer pauses depend more on a single long prompt that runs beside the stream than on the
+    /// server.
+    static constexpr std::size_t MinPauses = 6;
+    /// Enough for a median; further pauses of a long stream add nothing.
+    static constexpr std::size_t MaxPauses = 40;
 
     std::optional<SteadyTime> m_last;
     std::vector<std::chrono::duration<double>> m_pauses;
--- a/include/snipestall/serving/traffic_limits.hpp
+++ b/include/snipestall/serving/traffic_limits.hpp
@@ -5,7 +5,7 @@
 
 namespace snipestall::serving {
 
-/// What a caller may send and how long it may take.
+/// Limits on the size of the requests of a caller and on the time that they may take to arrive.
 struct TrafficLimits
 {
     std::uint32_t maxHeaderBytes = 16 * 1024;
--- a/include/snipestall/serving/usage_windows.hpp
+++ b/include/snipestall/serving/usage_windows.hpp
@@ -9,10 +9,11 @@
 
 namespace snipestall::serving {
 
-/// Requests that began to run, by customer.
+/// Number of requests that servers have started, by customer.
 using UsageCounts = std::map<std::string, std::uint64_t>;
 
-/// Counts the requests that backend servers began for each customer in windows of true time.
+/// Counts the requests that backend servers have started for each customer, in windows of corrected
+/// wall-clock time.
 class UsageWindows
 {
 public:
@@ -20,15 +21,17 @@
         : m_length(length)
     { }
 
-    /// Number of the window that holds a time.
+    /// Number of the window that contains a time.
     [[nodiscard]] std::int64_t windowOf(WallTime time) const;
+    /// End of a window.
     [[nodiscard]] WallTime endOf(std::int64_t window) const;
 
+    /// A server started a request of `customer` at `time`.
     void began(const std::string &customer, WallTime time);
-    /// Empty if nothing began.
+    /// The counts of a window; empty if no request was started in it.
     [[nodiscard]] UsageCounts counts(std::int64_t window) const;
     [[nodiscard]] const std::map<std::int64_t, UsageCounts> &all() const { return m_windows; }
-    /// Drops windows before this one.
+    /// Drops the windows before this one.
     void dropBefore(std::int64_t window);
 
 private:
--- a/src/snipestall/serving/catalogue.cpp
+++ b/src/snipestall/serving/catalogue.cpp
@@ -28,7 +28,8 @@
     const auto onHost = m_byHost.find(std::string(host));
     if (onHost == m_byHost.end())
         return nullptr;
-    // Every prefix ends with a slash, so only the slashes of the path can end one.
+    // Every prefix ends with a slash, so only the parts of the path that end with a slash are
+    // looked up.
     for (std::size_t slash = path.rfind('/'); slash != std::string_view::npos;
          slash = path.rfind('/', slash - 1)) {
         const auto found = onHost->second.find(std::string(path.substr(0, slash + 1)));
--- a/src/snipestall/serving/crash_watch.cpp
+++ b/src/snipestall/serving/crash_watch.cpp
@@ -7,57 +7,61 @@
 
 bool CrashWatch::broke(std::uint64_t fingerprint, const std::string &server, SteadyTime now)
 {
-    auto &suspects = m_suspects[server];
-    std::erase_if(suspects, [now](const Suspect &each) { return now - each.time > SuspectFor; });
-    suspects.push_back({ fingerprint, now });
-    return m_inDoubt.insert(server).second;
+    auto &requests = m_brokenRequests[server];
+    std::erase_if(requests,
+                  [now](const BrokenRequest &each) { return now - each.time > SuspectPeriod; });
+    requests.push_back({ fingerprint, now });
+    return m_checking.insert(server).second;
 }
 
 bool CrashWatch::inDoubt(const std::string &server) const
 {
-    return m_inDoubt.contains(server);
+    return m_checking.contains(server);
 }
 
 void CrashWatch::stillListens(const std::string &server)
 {
-    m_inDoubt.erase(server);
+    m_checking.erase(server);
 }
 
 void CrashWatch::refused(const std::string &server, SteadyTime now)
 {
-    m_inDoubt.erase(server);
-    const auto found = m_suspects.find(server);
-    if (found == m_suspects.end())
+    m_checking.erase(server);
+    const auto found = m_brokenRequests.find(server);
+    if (found == m_brokenRequests.end())
         return;
-    const auto suspects = std::exchange(found->second, {});
-    m_suspects.erase(found);
-    for (const Suspect &suspect : suspects) {
-        if (now - suspect.time <= SuspectFor)
-            reported({ suspect.fingerprint, server }, now);
+    const auto requests = std::exchange(found->second, {});
+    m_brokenRequests.erase(found);
+    for (const BrokenRequest &request : requests) {
+        if (now - request.time <= SuspectPeriod)
+            reported({ request.fingerprint, server }, now);
     }
 }
 
 void CrashWatch::reported(const CrashReport &report, SteadyTime now)
 {
-    std::erase_if(m_ended,
-                  [now](const auto &entry) { return now - entry.second.last > BlockedFor; });
-    std::erase_if(m_told, [now](const Told &each) { return now - each.time > ToldFor; });
-    if (m_ended.size() >= MostFingerprints && !m_ended.contains(report.fingerprint))
+    std::erase_if(m_crashedServers,
+                  [now](const auto &entry) { return now - entry.second.last > BlockPeriod; });
+    std::erase_if(m_recentReports,
+                  [now](const RecentReport &each) { return now - each.time > ReportPeriod; });
+    if (m_crashedServers.size() >= MaxFingerprints
+        && !m_crashedServers.contains(report.fingerprint))
         return;
-    Ended &ended = m_ended[report.fingerprint];
-    // Told once already: passing it on again would keep it going round for ever.
-    if (!ended.servers.insert(report.server).second)
+    CrashedServers &crashed = m_crashedServers[report.fingerprint];
+    // Already known. Sending it on again would keep it circulating among the instances forever.
+    if (!crashed.servers.insert(report.server).second)
         return;
-    ended.last = now;
-    m_told.push_back({ report, now });
+    crashed.last = now;
+    m_recentReports.push_back({ report, now });
 }
 
-// Failure: a rack loses its power, and a call that many callers send with the same empty body was
-// in flight at three of its servers. It shows as that call refused to all callers for minutes.
+// Failure: a rack loses its power while a call that many callers send with the same empty body is
+// in flight at three of its servers. It shows as that call being refused to all callers for
+// minutes.
 void CrashWatch::answered(std::uint64_t fingerprint, SteadyTime now)
 {
     m_answered.add(fingerprint, now);
-    m_ended.erase(fingerprint);
+    m_crashedServers.erase(fingerprint);
 }
 
 bool CrashWatch::isInnocent(std::uint64_t fingerprint) const
@@ -67,24 +71,24 @@
 
 bool CrashWatch::hasEndedServer(std::uint64_t fingerprint) const
 {
-    return m_ended.contains(fingerprint);
+    return m_crashedServers.contains(fingerprint);
 }
 
 bool CrashWatch::blocked(std::uint64_t fingerprint, SteadyTime now) const
 {
     if (isInnocent(fingerprint))
         return false;
-    const auto found = m_ended.find(fingerprint);
-    return found != m_ended.end() && found->second.servers.size() >= MostServers
-        && now - found->second.last <= BlockedFor;
+    const auto found = m_crashedServers.find(fingerprint);
+    return found != m_crashedServers.end() && found->second.servers.size() >= BlockThreshold
+        && now - found->second.last <= BlockPeriod;
 }
 
 std::vector<CrashReport> CrashWatch::recent(SteadyTime now) const
 {
     std::vector<CrashReport> reports;
-    for (const Told &told : m_told) {
-        if (now - told.time <= ToldFor)
-            reports.push_back(told.report);
+    for (const RecentReport &each : m_recentReports) {
+        if (now - each.time <= ReportPeriod)
+            reports.push_back(each.report);
     }
     return reports;
 }
--- a/src/snipestall/serving/crash_watch_test.cpp
+++ b/src/snipestall/serving/crash_watch_test.cpp
@@ -10,51 +10,51 @@
 const SteadyTime Start { 100s };
 constexpr std::uint64_t Crashing = 7;
 
-void end(CrashWatch &watch, const std::string &server, SteadyTime now)
+void crash(CrashWatch &watch, const std::string &server, SteadyTime now)
 {
     watch.broke(Crashing, server, now);
     watch.refused(server, now + 200ms);
 }
 
-// Streams of many callers break again and again: one caller repeats a request that ends each server
-// that begins it, and every instance passes it on.
-TEST(CrashWatch, ARequestThatEndedThreeServersIsBlocked)
+// Guards against one caller who repeats a request that crashes every server that starts it: every
+// instance passes it on, and the streams of many callers break again and again.
+TEST(CrashWatch, ARequestThatCrashedThreeServersIsBlocked)
 {
     CrashWatch watch;
-    end(watch, "a", Start);
-    end(watch, "b", Start + 1s);
+    crash(watch, "a", Start);
+    crash(watch, "b", Start + 1s);
     EXPECT_FALSE(watch.blocked(Crashing, Start + 2s));
-    end(watch, "c", Start + 2s);
+    crash(watch, "c", Start + 2s);
     EXPECT_TRUE(watch.blocked(Crashing, Start + 3s));
     EXPECT_FALSE(watch.blocked(Crashing + 1, Start + 3s));
     EXPECT_FALSE(watch.blocked(Crashing, Start + 200s));
 }
 
-// A caller's request is refused for minutes although nothing is wrong with it: its answers were
-// lost on the way three times, from servers that went on serving.
-TEST(CrashWatch, LostAnswersOfServersThatLiveBlockNothing)
+// Guards against refusing a harmless request for minutes: its answers were lost on the network
+// three times, and the servers went on serving.
+TEST(CrashWatch, LostAnswersOfRunningServersBlockNothing)
 {
     CrashWatch watch;
     for (const char *server : { "a", "b", "c", "d" })
         watch.broke(Crashing, server, Start);
     EXPECT_FALSE(watch.blocked(Crashing, Start));
-    // A server that refuses much later ended for another reason.
+    // A server that refuses connections much later ended for another reason.
     watch.refused("a", Start + 5s);
     watch.refused("b", Start + 5s);
     watch.refused("c", Start + 5s);
     EXPECT_FALSE(watch.blocked(Crashing, Start + 5s));
 }
 
-// Many callers send one call with the same empty body; it is in flight at each server of a rack
-// that loses its power. Blamed for that, it would be refused to all of them for minutes.
-TEST(CrashWatch, WhatAServerAnsweredIsBlamedForNoEnd)
+// Guards against refusing a harmless call to all callers for minutes: many callers send the same
+// call with an empty body, and it is in flight at each server of a rack that loses its power.
+TEST(CrashWatch, AnAnsweredRequestIsNotBlocked)
 {
     CrashWatch watch;
     watch.answered(Crashing, Start);
     for (const char *server : { "a", "b", "c" })
-        end(watch, server, Start + 1s);
+        crash(watch, server, Start + 1s);
     EXPECT_FALSE(watch.blocked(Crashing, Start + 2s));
-    // The same when its answer comes after the ends, as of a server that did not end.
+    // The same applies if the answer arrives after the crashes, from a server that did not crash.
     for (const char *server : { "a", "b", "c" }) {
         watch.broke(Crashing + 1, server, Start + 1s);
         watch.refused(server, Start + 1s);
@@ -64,8 +64,9 @@
     EXPECT_FALSE(watch.blocked(Crashing + 1, Start + 2s));
 }
 
-// All streams of a server break at once. One look whether it has ended is enough for all of them.
-TEST(CrashWatch, AServerThatBrokeOffIsLookedAtOnce)
+// All streams of a server break at once. One check whether the server has crashed is enough for all
+// of them.
+TEST(CrashWatch, AServerWhoseConnectionsBrokeIsCheckedOnce)
 {
     CrashWatch watch;
     EXPECT_TRUE(watch.broke(1, "a", Start));
@@ -80,20 +81,20 @@
         EXPECT_TRUE(watch.hasEndedServer(fingerprint));
 }
 
-TEST(CrashWatch, InstancesAddUpWhatTheySaw)
+TEST(CrashWatch, ReportsOfAllInstancesCount)
 {
     CrashWatch first;
     CrashWatch second;
-    end(first, "a", Start);
-    end(first, "b", Start);
-    end(second, "c", Start);
+    crash(first, "a", Start);
+    crash(first, "b", Start);
+    crash(second, "c", Start);
     for (const CrashReport &report : first.recent(Start + 1s))
         second.reported(report, Start + 1s);
     EXPECT_TRUE(second.blocked(Crashing, Start + 1s));
     EXPECT_TRUE(first.recent(Start + 10s).empty());
 }
 
-TEST(CrashWatch, AReportGoesRoundOnce)
+TEST(CrashWatch, AReportIsSentOnOnlyOnce)
 {
     CrashWatch watch;
     watch.reported({ Crashing, "a" }, Start);
--- a/src/snipestall/serving/data_centre_health.cpp
+++ b/src/snipestall/serving/data_centre_health.cpp
@@ -6,23 +6,23 @@
 
 void DataCentreHealth::lost(const std::string &server, SteadyTime now)
 {
-    if (now - m_lastLost > Together)
-        m_lost.clear();
+    if (now - m_lastLost > LossWindow)
+        m_lostServers.clear();
     m_lastLost = now;
-    m_lost.insert(server);
-    if (m_lost.size() < LostServers)
+    m_lostServers.insert(server);
+    if (m_lostServers.size() < SuspicionThreshold)
         return;
     if (now < m_avoidUntil)
         return;
     m_avoidUntil = now + m_pause;
-    m_pause = std::min(2 * m_pause, LongestPause);
+    m_pause = std::min(2 * m_pause, MaxPause);
 }
 
 void DataCentreHealth::answered()
 {
-    m_lost.clear();
+    m_lostServers.clear();
     m_avoidUntil = {};
-    m_pause = FirstPause;
+    m_pause = InitialPause;
 }
 
 } // namespace snipestall::serving
--- a/src/snipestall/serving/data_centre_health_test.cpp
+++ b/src/snipestall/serving/data_centre_health_test.cpp
@@ -9,8 +9,8 @@
 
 const SteadyTime Start { 100s };
 
-// Callers wait while a data centre is cut off: each of its servers is tried in turn, and each try
-// hangs until its timeout.
+// Guards against callers that wait while the path to a data centre is cut: each of its servers is
+// tried in turn, and each attempt hangs until its timeout.
 TEST(DataCentreHealth, TwoLostServersPutAllUnderSuspicion)
 {
     DataCentreHealth health;
@@ -23,7 +23,7 @@
     EXPECT_TRUE(health.usable(Start + 420ms));
 }
 
-TEST(DataCentreHealth, AnAnswerFromAnyServerEndsIt)
+TEST(DataCentreHealth, AnAnswerFromAnyServerEndsTheSuspicion)
 {
     DataCentreHealth health;
     health.lost("a", Start);
--- a/src/snipestall/serving/decaying_rate.cpp
+++ b/src/snipestall/serving/decaying_rate.cpp
@@ -6,14 +6,14 @@
 
 using Seconds = std::chrono::duration<double>;
 
-double DecayingRate::at(std::chrono::milliseconds over, SteadyTime now) const
+double DecayingRate::at(std::chrono::milliseconds period, SteadyTime now) const
 {
-    return m_perSecond * std::exp(-(Seconds(now - m_updated) / Seconds(over)));
+    return m_perSecond * std::exp(-(Seconds(now - m_updated) / Seconds(period)));
 }
 
-void DecayingRate::add(double amount, std::chrono::milliseconds over, SteadyTime now)
+void DecayingRate::add(double amount, std::chrono::milliseconds period, SteadyTime now)
 {
-    m_perSecond = at(over, now) + amount / Seconds(over).count();
+    m_perSecond = at(period, now) + amount / Seconds(period).count();
     m_updated = now;
 }
 
--- a/src/snipestall/serving/demand_meter.cpp
+++ b/src/snipestall/serving/demand_meter.cpp
@@ -9,7 +9,7 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Adds what grew since `counted` to `total`.
+/// Adds the growth of `work` since `counted` to `total`, and updates `counted`.
 void addGrowth(const ServiceWork &work, ServiceWork &counted, ServiceWork &total)
 {
     for (const auto &[service, seconds] : work) {
@@ -22,16 +22,16 @@
 
 void DemandMeter::sawPromptRead(const std::string &service, double tokens, Seconds took)
 {
-    if (tokens < ShortestPrompt || took.count() <= 0)
+    if (tokens < MinPromptTokens || took.count() <= 0)
         return;
     auto &rates = m_rates[service];
     rates.push_back(tokens / took.count());
-    if (rates.size() > MostRates)
+    if (rates.size() > MaxRates)
         rates.pop_front();
-    // In a crowd every prompt seems to be read slowly. Taken for the engines' rate, that would make
-    // the same prompts look like several times the work, just when servers are missing.
+    // On an overloaded fleet every prompt is read slowly. If that were taken as the engines' read
+    // rate, the same prompts would count as several times the work, just when servers are missing.
     double &best = m_bestRate[service];
-    best = std::max(best * RateKept, rates.size() < FewestRates ? 0 : upperRate(rates));
+    best = std::max(best * BestRateDecay, rates.size() < MinRates ? 0 : upperRate(rates));
 }
 
 double DemandMeter::readRate(const std::string &service) const
@@ -43,7 +43,8 @@
 double DemandMeter::upperRate(const std::deque<double> &measured)
 {
     std::vector<double> rates(measured.begin(), measured.end());
-    // Slower ones shared their engine with others or were too short for its fixed delays.
+    // Slower prompts shared their engine with others or were too short compared with its fixed
+    // delays.
     constexpr double Quantile = 0.9;
     const auto at = rates.begin()
         + static_cast<std::ptrdiff_t>(Quantile * static_cast<double>(rates.size() - 1));
@@ -67,7 +68,7 @@
 {
     Peer &known = m_peers[peer];
     if (known.series != series) {
-        // What it did before it was first heard of is not new work.
+        // Work that the peer did before its first report is not new work.
         known = { series, work };
         return;
     }
@@ -76,39 +77,40 @@
 
 void DemandMeter::sample(SteadyTime now)
 {
-    addGrowth(m_ownWork, m_ownCounted, m_total);
-    m_totals.push_back({ now, m_total });
-    while (m_totals.size() > 1 && now - m_totals[1].time >= Span)
-        m_totals.pop_front();
-    const Total &before = m_totals.front();
+    addGrowth(m_ownWork, m_ownWorkInTotal, m_total);
+    m_workSamples.push_back({ now, m_total });
+    while (m_workSamples.size() > 1 && now - m_workSamples[1].time >= RateWindow)
+        m_workSamples.pop_front();
+    const WorkSample &before = m_workSamples.front();
     const double seconds = Seconds(now - before.time).count();
-    if (seconds < Seconds(Span).count() / 2)
+    if (seconds < Seconds(RateWindow).count() / 2)
         return;
     for (const auto &[service, work] : m_total) {
         const auto earlier = before.work.find(service);
         const double since = earlier == before.work.end() ? 0 : earlier->second;
-        auto &needs = m_needs[service];
-        needs.push_back({ now, (work - since) / seconds });
-        while (now - needs.front().time > Remembered)
-            needs.pop_front();
+        auto &samples = m_demandSamples[service];
+        samples.push_back({ now, (work - since) / seconds });
+        while (now - samples.front().time > PeakWindow)
+            samples.pop_front();
     }
 }
 
 double DemandMeter::needed(const std::string &service) const
 {
-    const auto found = m_needs.find(service);
-    if (found == m_needs.end())
+    const auto found = m_demandSamples.find(service);
+    if (found == m_demandSamples.end())
         return 0;
     double highest = 0;
-    for (const Need &need : found->second)
-        highest = std::max(highest, need.servers);
+    for (const DemandSample &demand : found->second)
+        highest = std::max(highest, demand.servers);
     return highest;
 }
 
 double DemandMeter::neededNow(const std::string &service) const
 {
-    const auto found = m_needs.find(service);
-    return found == m_needs.end() || found->second.empty() ? 0 : found->second.back().servers;
+    const auto found = m_demandSamples.find(service);
+    return found == m_demandSamples.end() || found->second.empty() ? 0
+                                                                   : found->second.back().servers;
 }
 
 } // namespace snipestall::serving
--- a/src/snipestall/serving/demand_meter_test.cpp
+++ b/src/snipestall/serving/demand_meter_test.cpp
@@ -9,7 +9,7 @@
 
 const SteadyTime Start { 100s };
 
-TEST(DemandMeter, SaysNothingBeforeEnoughPromptsWereRead)
+TEST(DemandMeter, HasNoReadRateBeforeEnoughPromptsWereRead)
 {
     DemandMeter meter;
     for (int i = 0; i < 7; ++i)
@@ -34,10 +34,10 @@
     EXPECT_NEAR(meter.needed("lm"), 2, 0.1);
 }
 
-// Servers are ordered by the hundred at five times the price: reclaimable ones were taken back, the
-// rest is crowded, every prompt takes three times as long, and the same requests look like three
-// times the work.
-TEST(DemandMeter, ACrowdDoesNotMakeTheSamePromptsMoreWork)
+// Guards against ordering servers by the hundred at five times the price: after reclaimable servers
+// were reclaimed, the others are overloaded, every prompt takes three times as long, and the same
+// requests look like three times the work.
+TEST(DemandMeter, OverloadDoesNotMakeTheSamePromptsMoreWork)
 {
     DemandMeter meter;
     for (int i = 0; i < 8; ++i)
--- a/src/snipestall/serving/duty_lease.cpp
+++ b/src/snipestall/serving/duty_lease.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// The holder stops acting this much before its lease ends: an act that is on its way arrives
-/// before anyone else may act.
-constexpr std::chrono::milliseconds StopEarly { 1000 };
-/// In lengths of the lease: by then a candidate that lives has taken a lease that lapsed.
-constexpr int StandbyLeases = 2;
+/// The holder stops acting this long before its lease ends, so that an action that is under way
+/// arrives before another instance may act.
+constexpr std::chrono::milliseconds SafetyMargin { 1000 };
+/// In lease durations: within this time a running candidate has taken an expired lease.
+constexpr int StandbyDuration = 2;
 
 } // namespace
 
@@ -28,43 +28,44 @@
         m_standbySince = now;
 }
 
-bool DutyLease::standsBy(SteadyTime now) const
+bool DutyLease::isStandby(SteadyTime now) const
 {
-    // What came of a write of its own is only known from a read.
+    // The result of a write of this instance is known only after a read.
     if (!m_standbySince || isOwn() || (m_known && m_mustRead))
         return false;
-    return now - std::max(*m_standbySince, m_holderHeard) < StandbyLeases * m_length;
+    return now - std::max(*m_standbySince, m_holderReportedAt) < StandbyDuration * m_length;
 }
 
 bool DutyLease::holds(SteadyTime now) const
 {
-    return m_known && isOwn() && now < m_validUntil - StopEarly;
+    return m_known && isOwn() && now < m_validUntil - SafetyMargin;
 }
 
 bool DutyLease::wantsRead(SteadyTime now) const
 {
-    if (standsBy(now))
+    if (isStandby(now))
         return false;
     if (m_mustRead)
         return true;
     if (holds(now))
         return false;
-    const bool heard = now - m_holderHeard < m_length / 2;
-    return !heard && now - m_readAt >= m_length / 3;
+    const bool reported = now - m_holderReportedAt < m_length / 2;
+    return !reported && now - m_readAt >= m_length / 3;
 }
 
 std::optional<LeaseWrite> DutyLease::wantsWrite(SteadyTime now) const
 {
-    if (!m_known || m_mustRead || standsBy(now))
+    if (!m_known || m_mustRead || isStandby(now))
         return std::nullopt;
     if (isOwn()) {
-        if (now - m_renewedAt < renewEvery())
+        if (now - m_renewedAt < renewalInterval())
             return std::nullopt;
         return LeaseWrite { m_row, m_version };
     }
     const bool free = m_row.holder.empty();
-    const bool lapsed = now - m_seenSince > m_length && now - m_holderHeard > m_length / 2;
-    if (!free && !lapsed)
+    const bool expired =
+        now - m_versionSeenAt > m_length && now - m_holderReportedAt > m_length / 2;
+    if (!free && !expired)
         return std::nullopt;
     return LeaseWrite { { m_self, m_row.fence + 1 }, m_version };
 }
@@ -79,14 +80,14 @@
 void DutyLease::sawRow(const LeaseRow &row, std::int64_t version, SteadyTime now)
 {
     if (!m_known || version != m_version)
-        m_seenSince = now;
+        m_versionSeenAt = now;
     m_known = true;
     m_mustRead = false;
     m_row = row;
     m_version = version;
     m_readAt = now;
-    // Found as our own after a write whose answer was lost: valid only from the next renewal on,
-    // since when that write took effect is not known.
+    // A row that names this instance may come from a write whose answer was lost. It is not known
+    // when that write took effect, so the lease is valid only from the next renewal on.
     if (!isOwn())
         m_validUntil = {};
 }
@@ -98,7 +99,7 @@
     m_row = write.row;
     m_version = version;
     m_renewedAt = sentAt;
-    m_seenSince = sentAt;
+    m_versionSeenAt = sentAt;
     m_readAt = sentAt;
     m_validUntil = isOwn() ? sentAt + m_length : SteadyTime {};
 }
@@ -110,7 +111,7 @@
 
 void DutyLease::holderHeard(SteadyTime now)
 {
-    m_holderHeard = now;
+    m_holderReportedAt = now;
 }
 
 } // namespace snipestall::serving
--- a/src/snipestall/serving/duty_lease_test.cpp
+++ b/src/snipestall/serving/duty_lease_test.cpp
@@ -9,7 +9,7 @@
 
 const SteadyTime Start { 100s };
 
-/// The row in the store, with the conditional write that it offers.
+/// The row in the store, with its conditional write.
 class Row
 {
 public:
@@ -30,7 +30,7 @@
     std::int64_t m_counter = 0;
 };
 
-/// One round of an instance that reaches the store.
+/// One step of an instance that can reach the store.
 void step(DutyLease &lease, Row &row, SteadyTime now)
 {
     if (lease.wantsRead(now))
@@ -43,7 +43,7 @@
     }
 }
 
-TEST(DutyLease, OneOfSeveralTakesItAndRenewsIt)
+TEST(DutyLease, OneOfSeveralInstancesTakesTheLeaseAndRenewsIt)
 {
     Row row;
     DutyLease first("a/1", 3s);
@@ -57,9 +57,9 @@
     EXPECT_EQ(row.row().fence, 1);
 }
 
-// The store is called a thousand times in a few seconds when hundreds of instances start, or lose
-// the holder, at the same moment: each reads the lease and tries to write it.
-TEST(DutyLease, InstancesThatStandByLeaveTheLeaseToTheCandidates)
+// Guards against a thousand calls to the store within a few seconds: hundreds of instances start,
+// or lose the holder, at the same moment, and each reads the lease and tries to write it.
+TEST(DutyLease, StandbyInstancesLeaveTheLeaseToTheCandidates)
 {
     Row row;
     DutyLease candidate("a/1", 3s);
@@ -77,8 +77,9 @@
     EXPECT_EQ(row.row().holder, "a/1");
 }
 
-// Usage goes unreported and nothing is ordered: all candidates are gone.
-TEST(DutyLease, AnInstanceThatStandsByStepsInWhenNoCandidateDoes)
+// Guards against usage that is not reported and servers that are not ordered because all candidates
+// are gone.
+TEST(DutyLease, AStandbyInstanceTakesTheLeaseWhenNoCandidateDoes)
 {
     Row row;
     DutyLease other("b/1", 3s);
@@ -91,9 +92,9 @@
     EXPECT_TRUE(other.holds(Start + 8s));
 }
 
-// Two instances order servers in turns: the holder is suspended for longer than its lease, another
-// one takes over, and the first goes on where it was when it wakes.
-TEST(DutyLease, ASuspendedHolderDoesNotActWhenItWakes)
+// Guards against two instances that order servers alternately: the holder is suspended for longer
+// than its lease, another instance takes over, and the first one continues when it resumes.
+TEST(DutyLease, ASuspendedHolderDoesNotActWhenItResumes)
 {
     Row row;
     DutyLease first("a/1", 3s);
@@ -128,8 +129,8 @@
     EXPECT_FALSE(lease.holds(Start + 100ms + 2s));
 }
 
-// Nobody reports usage any more: the answer to the write that took the lease was lost, and the
-// instance waits for a holder that is itself.
+// Guards against usage that is no longer reported: the answer to the write that took the lease was
+// lost, and the instance waits for a holder that is itself.
 TEST(DutyLease, ALostAnswerIsSettledByReadingTheRow)
 {
     Row row;
@@ -158,7 +159,7 @@
     EXPECT_FALSE(after.holds(Start + 600ms));
 }
 
-TEST(DutyLease, AReleasedLeaseIsTakenAtOnceUnderAHigherNumber)
+TEST(DutyLease, AReleasedLeaseIsTakenAtOnceWithAHigherToken)
 {
     Row row;
     DutyLease first("a/1", 3s);
--- a/src/snipestall/serving/fleet_planner.cpp
+++ b/src/snipestall/serving/fleet_planner.cpp
@@ -17,53 +17,55 @@
     : m_policy(std::move(policy))
 {
     for (const auto &[dataCentre, count] : usual)
-        m_places[dataCentre].usual = count;
+        m_dataCentres[dataCentre].usual = count;
 }
 
 void FleetPlanner::pressure(double partOfTarget, SteadyTime now)
 {
-    if (partOfTarget >= ShrinkBelow || m_calmSince == SteadyTime {})
-        m_calmSince = now;
-    // What was ordered last must have started before its effect can be judged.
-    const auto settled = m_policy.bootTime + RepeatPause;
+    if (partOfTarget >= ShrinkThreshold || m_lowPressureSince == SteadyTime {})
+        m_lowPressureSince = now;
+    // The servers ordered last must have started before their effect can be judged.
+    const auto settled = m_policy.bootTime + RetryPause;
     if (now - m_scaledAt < settled)
         return;
-    // Reclaimable servers are what grows, and none are to be had: the effect could not be judged.
-    if (partOfTarget > GrowAbove && !shortage()) {
-        m_scale = std::min(m_scale * GrowBy, MostScale);
+    // The fleet grows by reclaimable servers; while none are available, the effect of growing could
+    // not be judged.
+    if (partOfTarget > GrowThreshold && !hasShortage()) {
+        m_scale = std::min(m_scale * GrowFactor, MaxScale);
         m_scaledAt = now;
         return;
     }
-    if (now - m_calmSince >= ShrinkAfter) {
-        m_scale = std::max(m_scale * ShrinkBy, LeastScale);
+    if (now - m_lowPressureSince >= ShrinkAfter) {
+        m_scale = std::max(m_scale * ShrinkFactor, MinScale);
         m_scaledAt = now;
-        m_calmSince = now;
+        m_lowPressureSince = now;
     }
 }
 
 int FleetPlanner::usualTotal() const
 {
     int total = 0;
-    for (const auto &[dataCentre, place] : m_places)
-        total += place.usual;
+    for (const auto &[dataCentre, state] : m_dataCentres)
+        total += state.usual;
     return total;
 }
 
 int FleetPlanner::reclaimableWanted(FleetDemand demand) const
 {
-    const auto dataCentres = static_cast<double>(std::max<std::size_t>(m_places.size(), 1));
-    const double least = usualTotal() * LeastOfUsual;
-    const double total = std::max(demand.servers / ComfortableUse, least) * m_scale;
-    // The others carry the demand without one data centre; alone, it can only have a server more.
+    const auto dataCentres = static_cast<double>(std::max<std::size_t>(m_dataCentres.size(), 1));
+    const double minTotal = usualTotal() * MinPartOfUsual;
+    const double total = std::max(demand.servers / TargetUtilisation, minTotal) * m_scale;
+    // The other data centres have to carry the demand without any single one of them; if there is
+    // only one data centre, it carries all of the demand itself.
     const double others = std::max(dataCentres - 1, 1.0);
     const int each = static_cast<int>(std::ceil(total / others));
     return std::clamp(each, m_policy.least, m_policy.most);
 }
 
-std::vector<std::string> FleetPlanner::cheapestFirst() const
+std::vector<std::string> FleetPlanner::dataCentresByPrice() const
 {
     std::vector<std::string> order;
-    for (const auto &[dataCentre, place] : m_places)
+    for (const auto &[dataCentre, state] : m_dataCentres)
         order.push_back(dataCentre);
     const auto priceOf = [this](const std::string &dataCentre) {
         const auto found = m_policy.dataCentrePrices.find(dataCentre);
@@ -75,13 +77,13 @@
     return order;
 }
 
-bool FleetPlanner::shortage() const
+bool FleetPlanner::hasShortage() const
 {
-    return std::any_of(m_places.begin(), m_places.end(),
+    return std::any_of(m_dataCentres.begin(), m_dataCentres.end(),
                        [](const auto &entry) { return entry.second.reclaimable.refused; });
 }
 
-int FleetPlanner::insured(const std::map<std::string, FleetCount> &counts, double servers)
+int FleetPlanner::insuranceNeeded(const std::map<std::string, FleetCount> &counts, double servers)
 {
     int left = 0;
     int largest = 0;
@@ -90,7 +92,7 @@
         largest = std::max(largest, count.reclaimable);
     }
     left -= largest;
-    return static_cast<int>(std::ceil(std::max(servers - left, 0.0) / ColdUse));
+    return static_cast<int>(std::ceil(std::max(servers - left, 0.0) / ColdCapacity));
 }
 
 int FleetPlanner::onDemandMissing(const std::map<std::string, FleetCount> &counts,
@@ -99,16 +101,16 @@
     int reclaimable = 0;
     for (const auto &[dataCentre, count] : counts)
         reclaimable += count.reclaimable;
-    // Before the demand has been measured, what the operators started with is the best guess;
-    // before the first request nothing needs to run while cheaper servers start.
-    int needed = demand.any ? usualTotal() : 0;
+    // Before the demand has been measured, the number that the operators started with is the best
+    // guess. Before the first request no on-demand server is needed while the cheaper ones start.
+    int needed = demand.hasRequests ? usualTotal() : 0;
     m_estimate = FleetEstimate::Usual;
     if (demand.servers > 0) {
         m_estimate = FleetEstimate::Demand;
-        needed = static_cast<int>(std::ceil(demand.servers / CrowdedUse));
+        needed = static_cast<int>(std::ceil(demand.servers / MaxUtilisation));
     }
     const int missing = std::max(needed - reclaimable, 0);
-    const int insurance = shortage() ? insured(counts, demand.serversNow) : 0;
+    const int insurance = hasShortage() ? insuranceNeeded(counts, demand.serversNow) : 0;
     if (insurance <= missing)
         return missing;
     m_estimate = FleetEstimate::Insurance;
@@ -120,10 +122,11 @@
 {
     std::map<std::string, int> wanted;
     int missing = onDemandMissing(counts, demand);
-    const std::vector<std::string> order = cheapestFirst();
+    const std::vector<std::string> order = dataCentresByPrice();
     for (const std::string &dataCentre : order)
         wanted[dataCentre] = 0;
-    // Evenly, since a data centre may be cut off, the cheaper ones first where it doesn't divide.
+    // The servers are distributed evenly, because a data centre may be cut off; the cheaper data
+    // centres get the remainder.
     for (bool placed = true; placed && missing > 0;) {
         placed = false;
         for (const std::string &dataCentre : order) {
@@ -139,18 +142,19 @@
     return wanted;
 }
 
-bool FleetPlanner::due(const Kind &kind, int wanted, int present, SteadyTime now) const
+bool FleetPlanner::isDue(const OrderState &state, int wanted, int present, SteadyTime now) const
 {
-    const auto waited = now - kind.askedAt;
-    if (kind.refused)
-        return waited >= RepeatPause;
-    if (wanted > kind.ordered || kind.ordered < 0)
+    const auto waited = now - state.lastOrderAt;
+    if (state.refused)
+        return waited >= RetryPause;
+    if (wanted > state.ordered || state.ordered < 0)
         return true;
-    // Fewer are ordered once the lower figure has lasted: each change costs a start.
-    if (wanted < kind.ordered)
-        return waited >= m_policy.bootTime + RepeatPause;
-    // A reclaim ends the order that it strikes, and an order may get lost.
-    return present < wanted && waited >= m_policy.bootTime + RepeatPause;
+    // Fewer servers are ordered only after the lower number has lasted, because each change costs a
+    // server start.
+    if (wanted < state.ordered)
+        return waited >= m_policy.bootTime + RetryPause;
+    // A reclaim ends the order that it affects, and an order may get lost.
+    return present < wanted && waited >= m_policy.bootTime + RetryPause;
 }
 
 std::vector<FleetOrder> FleetPlanner::plan(const std::map<std::string, FleetCount> &counts,
@@ -159,13 +163,13 @@
     std::vector<FleetOrder> orders;
     const int reclaimable = reclaimableWanted(demand);
     const std::map<std::string, int> onDemand = onDemandWanted(counts, demand);
-    for (auto &[dataCentre, place] : m_places) {
+    for (auto &[dataCentre, state] : m_dataCentres) {
         const auto found = counts.find(dataCentre);
         const FleetCount count = found == counts.end() ? FleetCount {} : found->second;
-        if (due(place.reclaimable, reclaimable, count.reclaimable, now))
+        if (isDue(state.reclaimable, reclaimable, count.reclaimable, now))
             orders.push_back({ dataCentre, reclaimable, true });
         const int wanted = onDemand.at(dataCentre);
-        if (due(place.onDemand, wanted, count.onDemand, now))
+        if (isDue(state.onDemand, wanted, count.onDemand, now))
             orders.push_back({ dataCentre, wanted, false });
     }
     return orders;
@@ -173,15 +177,15 @@
 
 void FleetPlanner::accepted(const FleetOrder &order, SteadyTime now)
 {
-    Kind &kind = kindOf(m_places[order.dataCentre], order.reclaimable);
-    kind = { order.count, now, false };
+    OrderState &state = orderStateOf(m_dataCentres[order.dataCentre], order.reclaimable);
+    state = { order.count, now, false };
 }
 
 void FleetPlanner::refused(const FleetOrder &order, SteadyTime now)
 {
-    Kind &kind = kindOf(m_places[order.dataCentre], order.reclaimable);
-    kind.askedAt = now;
-    kind.refused = true;
+    OrderState &state = orderStateOf(m_dataCentres[order.dataCentre], order.reclaimable);
+    state.lastOrderAt = now;
+    state.refused = true;
 }
 
 } // namespace snipestall::serving
--- a/src/snipestall/serving/fleet_planner_test.cpp
+++ b/src/snipestall/serving/fleet_planner_test.cpp
@@ -24,8 +24,8 @@
 class FleetPlannerTest : public testing::Test
 {
 protected:
-    /// Carries out all orders at once.
-    void settle(FleetDemand demand, SteadyTime now)
+    /// Fulfils all orders at once.
+    void planAndFulfil(FleetDemand demand, SteadyTime now)
     {
         for (const FleetOrder &order : m_planner.plan(m_counts, demand, now)) {
             m_planner.accepted(order, now);
@@ -66,33 +66,33 @@
 
 TEST_F(FleetPlannerTest, BeforeTheFirstRequestNoOnDemandServerIsNeeded)
 {
-    settle({ 0, 0, false }, Start);
+    planAndFulfil({ 0, 0, false }, Start);
     EXPECT_EQ(total(&FleetCount::onDemand), 0);
-    EXPECT_EQ(total(&FleetCount::reclaimable), 27); // half as many again, for two of three
+    EXPECT_EQ(total(&FleetCount::reclaimable), 27); // 12 * 1.5 servers in two of three data centres
 }
 
-// Requests wait for seconds after reclaimable servers were taken back: no others are to be had for
-// a while, and nothing takes their place.
+// Guards against requests that wait for seconds after reclaimable servers were reclaimed: no others
+// are available for a while, and nothing replaces them.
 TEST_F(FleetPlannerTest, OnDemandServersFillUpToWhatTheDemandNeeds)
 {
     const FleetDemand demand { 6, 6, true };
-    settle(demand, Start);
+    planAndFulfil(demand, Start);
     for (auto &[dataCentre, count] : m_counts)
         count = { 0, dataCentre == "a" ? 0 : 3 };
-    settle(demand, Start + 20s);
-    EXPECT_EQ(total(&FleetCount::onDemand), 2); // 6 / 0.8 less the 6 that are left
+    planAndFulfil(demand, Start + 20s);
+    EXPECT_EQ(total(&FleetCount::onDemand), 2); // 6 / 0.8 minus the 6 that remain
 }
 
-TEST_F(FleetPlannerTest, LowDemandNeedsNoOnDemandServersInAReclaim)
+TEST_F(FleetPlannerTest, LowDemandNeedsNoOnDemandServersDuringAReclaim)
 {
     const FleetDemand demand { 2, 2, true };
-    settle(demand, Start);
+    planAndFulfil(demand, Start);
     m_counts["a"] = { 0, 0 };
-    settle(demand, Start + 20s);
+    planAndFulfil(demand, Start + 20s);
     EXPECT_EQ(total(&FleetCount::onDemand), 0);
 }
 
-TEST_F(FleetPlannerTest, OnDemandServersGoWhereTheyAreCheapest)
+TEST_F(FleetPlannerTest, OnDemandServersAreOrderedWhereTheyAreCheapest)
 {
     ScalingPolicy priced = policy();
     priced.dataCentrePrices = { { "a", 1.2 }, { "b", 0.8 }, { "c", 1.0 } };
@@ -117,21 +117,22 @@
     EXPECT_NE(std::find(orders.begin(), orders.end(), wanted), orders.end());
 }
 
-TEST_F(FleetPlannerTest, TheFleetGrowsUnderPressureUpToItsLimitAndShrinksBackInCalm)
+TEST_F(FleetPlannerTest, TheFleetGrowsUnderPressureUpToItsLimitAndShrinksAfterIt)
 {
     SteadyTime now = Start;
     for (int i = 0; i < 400; ++i, now += 300ms)
         m_planner.pressure(0.9, now);
     EXPECT_EQ(m_planner.scale(), 4);
-    settle(m_unknown, now);
+    planAndFulfil(m_unknown, now);
     EXPECT_EQ(m_counts["a"].reclaimable, 10);
     for (int i = 0; i < 2000; ++i, now += 300ms)
         m_planner.pressure(0.1, now);
     EXPECT_EQ(m_planner.scale(), 1);
 }
 
-// A flood of one customer makes requests wait for some seconds; servers at five times the price
-// are ordered for it, start when it is over and are paid for until the pressure is forgotten.
+// Guards against servers that are ordered at five times the price because a flood of one customer
+// makes requests wait for some seconds: they start when the flood is over and are paid for until
+// the pressure has decayed.
 TEST_F(FleetPlannerTest, PressureAloneOrdersNoOnDemandServers)
 {
     const FleetDemand demand { 6, 6, true };
@@ -141,16 +142,16 @@
     ASSERT_GT(m_planner.scale(), 1.5);
     for (auto &[dataCentre, count] : m_counts)
         count = { 0, dataCentre == "a" ? 0 : 5 };
-    settle(demand, now);
-    EXPECT_EQ(total(&FleetCount::onDemand), 0); // 6 / 0.8 are there
+    planAndFulfil(demand, now);
+    EXPECT_EQ(total(&FleetCount::onDemand), 0); // 6 / 0.8 are present
 }
 
-/// Four data centres lose their reclaimable servers one after the other, with none to be had
-/// meanwhile.
+/// Four data centres lose their reclaimable servers one after the other, and no others are
+/// available meanwhile.
 class ReclaimWaveTest : public testing::Test
 {
 protected:
-    /// Plans once, with orders of reclaimable servers refused where they have been taken back.
+    /// Plans once; orders of reclaimable servers are refused where they have been reclaimed.
     void plan(SteadyTime now)
     {
         for (const FleetOrder &order : m_planner.plan(m_counts, m_demand, now)) {
@@ -164,7 +165,7 @@
         }
     }
 
-    void takeBack(const std::string &dataCentre, SteadyTime now)
+    void reclaim(const std::string &dataCentre, SteadyTime now)
     {
         m_counts[dataCentre].reclaimable = 0;
         plan(now);
@@ -179,8 +180,8 @@
         return sum;
     }
 
-    /// What 6 servers carry that have their prompts cached, fully used, or 12 that have not; 8
-    /// reclaimable ones run in each data centre.
+    /// The load of 6 fully used servers that have the prompts cached, or of 12 that have not; 8
+    /// reclaimable servers run in each data centre.
     const FleetDemand m_demand { 6, 6, true };
     std::map<std::string, FleetCount> m_counts {
         { "a", { 0, 8 } }, { "b", { 0, 8 } }, { "c", { 0, 8 } }, { "d", { 0, 8 } }
@@ -189,26 +190,26 @@
     FleetPlanner m_planner { policy(), { { "a", 4 }, { "b", 4 }, { "c", 4 }, { "d", 4 } } };
 };
 
-// For two seconds no server is left, and for fifteen more nearly every caller is served late: all
-// data centres' reclaimable servers were taken back one after the other, and on-demand ones were
-// ordered when the last ones went.
-TEST_F(ReclaimWaveTest, WhatMayBeLostNextIsReplacedBeforeItIsLost)
+// Guards against a fleet without any server for two seconds, and with nearly every caller served
+// late for another fifteen: the reclaimable servers of all data centres were reclaimed one after
+// the other, and on-demand servers were ordered only when the last ones were lost.
+TEST_F(ReclaimWaveTest, ServersThatMayBeLostNextAreReplacedBefore)
 {
     plan(Start);
-    takeBack("a", Start + 20s);
-    EXPECT_EQ(onDemand(), 0); // 16 are left if another one goes
-    takeBack("b", Start + 26s);
-    EXPECT_EQ(onDemand(), 0); // 8 would be left
-    takeBack("c", Start + 32s);
-    EXPECT_EQ(onDemand(), 12); // nothing else may be left
+    reclaim("a", Start + 20s);
+    EXPECT_EQ(onDemand(), 0); // 16 remain if another data centre loses its servers
+    reclaim("b", Start + 26s);
+    EXPECT_EQ(onDemand(), 0); // 8 would remain
+    reclaim("c", Start + 32s);
+    EXPECT_EQ(onDemand(), 12); // none may remain
     EXPECT_EQ(m_planner.estimate(), FleetEstimate::Insurance);
 }
 
 TEST_F(ReclaimWaveTest, TheInsuranceEndsWithTheShortage)
 {
     plan(Start);
-    takeBack("a", Start + 20s);
-    takeBack("b", Start + 26s);
+    reclaim("a", Start + 20s);
+    reclaim("b", Start + 26s);
     for (auto &[dataCentre, count] : m_counts)
         count = { m_onDemand[dataCentre], 8 };
     plan(Start + 40s);
@@ -217,17 +218,17 @@
     EXPECT_EQ(onDemand(), 0);
 }
 
-TEST_F(ReclaimWaveTest, PressureDoesNotGrowAFleetThatCannotBeHad)
+TEST_F(ReclaimWaveTest, PressureDoesNotGrowAFleetDuringAShortage)
 {
     plan(Start);
-    takeBack("a", Start + 20s);
+    reclaim("a", Start + 20s);
     SteadyTime now = Start + 21s;
     for (int i = 0; i < 60; ++i, now += 300ms)
         m_planner.pressure(0.9, now);
     EXPECT_EQ(m_planner.scale(), 1);
 }
 
-TEST_F(FleetPlannerTest, OneSlowMomentDoesNotGrowTheFleetTwice)
+TEST_F(FleetPlannerTest, OnePeakDoesNotGrowTheFleetTwice)
 {
     m_planner.pressure(0.9, Start);
     const double grown = m_planner.scale();
@@ -235,13 +236,13 @@
     EXPECT_EQ(m_planner.scale(), grown);
 }
 
-TEST_F(FleetPlannerTest, ADipIsNotFollowedAtOnce)
+TEST_F(FleetPlannerTest, ADropInDemandIsNotFollowedAtOnce)
 {
-    settle({ 7, 7, true }, Start);
+    planAndFulfil({ 7, 7, true }, Start);
     const int before = total(&FleetCount::reclaimable);
-    settle({ 1, 1, true }, Start + 1s);
+    planAndFulfil({ 1, 1, true }, Start + 1s);
     EXPECT_EQ(total(&FleetCount::reclaimable), before);
-    settle({ 1, 1, true }, Start + 10s);
+    planAndFulfil({ 1, 1, true }, Start + 10s);
     EXPECT_LT(total(&FleetCount::reclaimable), before);
 }
 
--- a/src/snipestall/serving/lapse_window.cpp
+++ b/src/snipestall/serving/lapse_window.cpp
@@ -5,13 +5,13 @@
 namespace snipestall::serving {
 
 LapseWindow::LapseWindow(std::chrono::milliseconds heartbeat, std::chrono::milliseconds drain)
-    : m_silence(heartbeat * HeartbeatsOfSilence)
+    : m_minGap(heartbeat * MinGapHeartbeats)
     , m_length(std::min(RelistTime, drain - DrainMargin))
 { }
 
 void LapseWindow::heard(std::chrono::milliseconds age, SteadyTime now)
 {
-    if (age > m_silence)
+    if (age > m_minGap)
         m_until = now + m_length;
 }
 
--- a/src/snipestall/serving/lapse_window_test.cpp
+++ b/src/snipestall/serving/lapse_window_test.cpp
@@ -9,10 +9,10 @@
 
 const SteadyTime Start { 100s };
 
-// After an outage of the store most requests are refused for good: an instance that gets the list
-// from its peers had seen no failed call of its own, took all lapsed servers for gone, and ids that
-// are gone never come back.
-TEST(LapseWindow, OpensAfterASilenceWhoeverBreaksIt)
+// Guards against most requests being refused permanently after an outage of the store: an instance
+// that gets the list from its peers has seen no failed call of its own, takes all expired servers
+// as gone, and ids that are gone are never accepted again.
+TEST(LapseWindow, OpensAfterAGapWhateverEndsIt)
 {
     LapseWindow window(1200ms, 2000ms);
     EXPECT_FALSE(window.open(Start));
@@ -29,7 +29,7 @@
     EXPECT_FALSE(window.open(Start + 10s));
 }
 
-TEST(LapseWindow, IsNotProlongedByFreshWord)
+TEST(LapseWindow, IsNotProlongedByAFreshList)
 {
     LapseWindow window(1200ms, 2000ms);
     window.heard(4500ms, Start);
--- a/src/snipestall/serving/latency_pressure.cpp
+++ b/src/snipestall/serving/latency_pressure.cpp
@@ -9,7 +9,7 @@
 {
     auto &samples = m_services[service];
     samples.push_back({ now, partOfTarget });
-    if (samples.size() > MostSamples)
+    if (samples.size() > MaxSamples)
         samples.pop_front();
 }
 
@@ -21,13 +21,13 @@
         samples.pop_front();
     if (samples.empty())
         return 0;
-    std::vector<double> parts;
-    parts.reserve(samples.size());
+    std::vector<double> values;
+    values.reserve(samples.size());
     for (const Sample &sample : samples)
-        parts.push_back(sample.part);
-    const auto at = parts.begin()
-        + static_cast<std::ptrdiff_t>(Quantile * static_cast<double>(parts.size() - 1));
-    std::nth_element(parts.begin(), at, parts.end());
+        values.push_back(sample.partOfTarget);
+    const auto at = values.begin()
+        + static_cast<std::ptrdiff_t>(Quantile * static_cast<double>(values.size() - 1));
+    std::nth_element(values.begin(), at, values.end());
     return *at;
 }
 
--- a/src/snipestall/serving/loop_lag_test.cpp
+++ b/src/snipestall/serving/loop_lag_test.cpp
@@ -20,14 +20,15 @@
     EXPECT_EQ(lag.takeWorst(), 0ms);
 }
 
-// Guards against a bound that counts from the handling of an event which had waited in the kernel.
-TEST(LoopLag, AnEventThatWaitedIsNoYoungerThanItWasTakenToBe)
+// Guards against a time limit that is counted from the handling of an event that had waited in the
+// kernel.
+TEST(LoopLag, TheEarliestArrivalOfAnEventThatWaitedIsNotTooLate)
 {
     const SteadyTime start { 10s };
     LoopLag lag(start);
     lag.ticked(start + 50ms, start + 50ms);
     lag.ticked(start + 100ms, start + 100ms);
-    // Busy for 850 ms: an event that came meanwhile is handled after this tick, or the next one.
+    // Busy for 850 ms: an event that arrived meanwhile is handled after this tick or the next one.
     lag.ticked(start + 150ms, start + 950ms);
     EXPECT_LE(lag.earliestArrival(), start + 100ms);
     lag.ticked(start + 1000ms, start + 1000ms);
--- a/src/snipestall/serving/member_usage.cpp
+++ b/src/snipestall/serving/member_usage.cpp
@@ -43,12 +43,12 @@
 void MemberUsage::hubStored(std::int64_t window, SteadyTime now)
 {
     m_storedByHub = std::max(m_storedByHub, window);
-    m_hubHeard = now;
+    m_lastHubReport = now;
 }
 
 bool MemberUsage::leftToHub(std::chrono::milliseconds sinceEnd, SteadyTime now) const
 {
-    return sinceEnd < OwnStoreAfter && now - m_hubHeard < HubHeardWithin;
+    return sinceEnd < MemberStoresAfter && now - m_lastHubReport < HubTimeout;
 }
 
 } // namespace snipestall::serving
--- a/src/snipestall/serving/member_usage_test.cpp
+++ b/src/snipestall/serving/member_usage_test.cpp
@@ -9,9 +9,10 @@
 
 const SteadyTime Start { 100s };
 
-// Customers are billed too little: a hub stores what a member told it while the window still ran,
-// and the member, which has counted more since, takes its counts for stored.
-TEST(MemberUsage, OnlyFinalCountsAreSaidToBeStored)
+// Guards against usage that is reported too low: a hub stores what a member reported while the
+// window was still running, and the member, which has counted more since, takes its counts as
+// stored.
+TEST(MemberUsage, OnlyFinalCountsAreConfirmedAsStored)
 {
     MemberUsage usage;
     usage.closed("done/1", 7);
@@ -23,9 +24,9 @@
     EXPECT_EQ(usage.storedUpTo("unknown/1"), 0);
 }
 
-// Customers are billed too little: the hub of an instance is killed before it has stored the counts
-// of the window that has just ended.
-TEST(MemberUsage, AMemberWhoseHubDoesNotStoreInTimeStoresItself)
+// Guards against usage that is reported too low: the hub of an instance is killed before it has
+// stored the counts of the window that has just ended.
+TEST(MemberUsage, AMemberStoresItsCountsIfItsHubDoesNotInTime)
 {
     MemberUsage usage;
     EXPECT_FALSE(usage.leftToHub(0ms, Start));
@@ -38,7 +39,7 @@
     EXPECT_FALSE(usage.leftToHub(1500ms, Start + 1500ms));
 }
 
-TEST(MemberUsage, AnotherHubThatHasStoredLessUndoesNothing)
+TEST(MemberUsage, AHubThatHasStoredLessChangesNothing)
 {
     MemberUsage usage;
     usage.hubStored(6, Start);
@@ -46,7 +47,7 @@
     EXPECT_TRUE(usage.storedByHub(6));
 }
 
-TEST(MemberUsage, MembersThatStoppedAreForgotten)
+TEST(MemberUsage, StoppedMembersAreRemoved)
 {
     MemberUsage usage;
     usage.closed("gone/1", 3);
--- a/src/snipestall/serving/overlay.cpp
+++ b/src/snipestall/serving/overlay.cpp
@@ -15,7 +15,7 @@
     std::uint32_t milliCores = 0;
     std::string name;
 
-    /// The order in which instances become hubs.
+    /// The order in which instances are chosen as hubs: most processor time first, then by name.
     bool operator<(const Candidate &other) const
     {
         return std::tie(other.milliCores, name) < std::tie(milliCores, other.name);
@@ -35,8 +35,8 @@
     byDataCentre[m_own.dataCentre].push_back({ m_own.milliCores, m_self });
     for (const auto &[name, peer] : peers)
         byDataCentre[peer.dataCentre].push_back({ peer.milliCores, name });
-    const bool small = peers.size() + 1 <= MostHubs;
-    const std::size_t hubsEach = std::max<std::size_t>(MostHubs / byDataCentre.size(), 1);
+    const bool allAreHubs = peers.size() + 1 <= MaxHubs;
+    const std::size_t hubsPerDataCentre = std::max<std::size_t>(MaxHubs / byDataCentre.size(), 1);
     m_hubs.clear();
     m_isHub = false;
     std::vector<std::string> ownHubs;
@@ -45,7 +45,8 @@
         const bool isOwn = dataCentre == m_own.dataCentre;
         if (isOwn)
             m_isReader = candidates.front().name == m_self;
-        const std::size_t count = small ? candidates.size() : std::min(candidates.size(), hubsEach);
+        const std::size_t count =
+            allAreHubs ? candidates.size() : std::min(candidates.size(), hubsPerDataCentre);
         for (std::size_t i = 0; i < count; ++i) {
             const std::string &name = candidates[i].name;
             if (name == m_self)
--- a/src/snipestall/serving/overlay_test.cpp
+++ b/src/snipestall/serving/overlay_test.cpp
@@ -30,7 +30,7 @@
     return made;
 }
 
-TEST(Overlay, AFewInstancesAllTalkToEachOther)
+TEST(Overlay, AFewInstancesAllCallEachOther)
 {
     for (const auto &[name, overlay] : overlays(instances(3, 3))) {
         EXPECT_TRUE(overlay.isHub()) << name;
@@ -38,15 +38,15 @@
     }
 }
 
-// Control traffic eats an instance's processor as the deployment grows: every pair of instances
-// exchanges reports.
-TEST(Overlay, CallsOfAnInstanceDoNotGrowWithTheInstances)
+// Guards against control traffic that takes a growing part of the processor time of an instance as
+// the deployment grows, because every pair of instances exchanges reports.
+TEST(Overlay, CallsOfAnInstanceDoNotGrowWithTheNumberOfInstances)
 {
     for (const int each : { 8, 32, 100 }) {
         const auto all = overlays(instances(10, each));
         std::map<std::string, int> called;
         for (const auto &[name, overlay] : all) {
-            EXPECT_LE(overlay.targets().size(), Overlay::MostHubs) << name;
+            EXPECT_LE(overlay.targets().size(), Overlay::MaxHubs) << name;
             for (const std::string &target : overlay.targets())
                 ++called[target];
         }
--- a/src/snipestall/serving/peer_calls.cpp
+++ b/src/snipestall/serving/peer_calls.cpp
@@ -11,11 +11,11 @@
     , m_overlay(std::move(self), std::move(own))
 { }
 
-void PeerCalls::known(const std::string &peer, const OverlayPeer &place)
+void PeerCalls::known(const std::string &peer, const OverlayPeer &info)
 {
-    OverlayPeer &known = m_peers[peer].place;
-    m_changed |= known != place;
-    known = place;
+    OverlayPeer &known = m_peers[peer].info;
+    m_changed |= known != info;
+    known = info;
 }
 
 void PeerCalls::moved(const std::string &peer)
@@ -27,10 +27,10 @@
 void PeerCalls::heard(const std::string &peer, SteadyTime now)
 {
     Peer &known = m_peers[peer];
-    known.heard = now;
+    known.lastReportAt = now;
     m_changed |= known.retryAt.has_value();
     known.retryAt.reset();
-    known.retryPause = FirstRetry;
+    known.retryPause = InitialRetryPause;
 }
 
 void PeerCalls::answered(const std::string &peer)
@@ -39,18 +39,18 @@
     if (peer != m_triedHub)
         return;
     m_hub = peer;
-    m_stay = m_triedStay;
+    m_session = m_triedSession;
     m_triedHub.clear();
 }
 
 std::uint64_t PeerCalls::stayAt(const std::string &hub)
 {
     if (hub == m_hub)
-        return m_stay;
+        return m_session;
     m_triedHub = hub;
-    // Never used before, whichever of the hubs that were tried got the report.
-    m_triedStay = std::max(m_stay, m_triedStay) + 1;
-    return m_triedStay;
+    // A new number in any case, whichever of the tried hubs received the report.
+    m_triedSession = std::max(m_session, m_triedSession) + 1;
+    return m_triedSession;
 }
 
 void PeerCalls::failed(const std::string &peer, SteadyTime now)
@@ -59,7 +59,7 @@
     known.calling = false;
     m_changed |= !known.retryAt.has_value();
     known.retryAt = now + known.retryPause;
-    known.retryPause = std::min(2 * known.retryPause, LongestRetry);
+    known.retryPause = std::min(2 * known.retryPause, MaxRetryPause);
 }
 
 void PeerCalls::updateOverlay()
@@ -70,7 +70,7 @@
     std::map<std::string, OverlayPeer> reachable;
     for (const auto &[name, peer] : m_peers) {
         if (!peer.retryAt)
-            reachable[name] = peer.place;
+            reachable[name] = peer.info;
     }
     m_overlay.update(reachable);
 }
@@ -84,7 +84,7 @@
     std::map<std::string, OverlayPeer> withRetries;
     for (const auto &[name, peer] : m_peers) {
         if (!peer.retryAt || isDue(peer))
-            withRetries[name] = peer.place;
+            withRetries[name] = peer.info;
     }
     Overlay wanted(m_self, m_own);
     wanted.update(withRetries);
@@ -97,8 +97,9 @@
 void PeerCalls::addIfDue(const std::string &name, SteadyTime now, std::vector<std::string> &names)
 {
     Peer &peer = m_peers.at(name);
-    // A quarter early: whoever of the two comes first saves the other its call.
-    const SteadyTime last = std::max(peer.heard, peer.calledAt);
+    // A call is due a quarter of the interval early: whichever of the two peers calls first saves
+    // the other one its call.
+    const SteadyTime last = std::max(peer.lastReportAt, peer.calledAt);
     if (peer.calling || now - last < Interval - Interval / 4)
         return;
     peer.calling = true;
--- a/src/snipestall/serving/peer_calls_test.cpp
+++ b/src/snipestall/serving/peer_calls_test.cpp
@@ -11,7 +11,8 @@
 
 const SteadyTime Start { 100s };
 
-/// A member in a fleet of two data centres of twenty: "a-00" and five others are its hubs.
+/// A member in a fleet of two data centres with twenty instances each; its hubs are "a-00" and five
+/// others.
 PeerCalls member()
 {
     PeerCalls calls("a-19", { "a" });
@@ -33,9 +34,9 @@
     return names.empty() ? std::string() : names.front();
 }
 
-// Customers are refused what they are owed and servers are chosen blindly while a hub is down: each
-// second a member leaves the hub that answers for the one that does not, and waits in vain.
-TEST(PeerCalls, AMemberStaysWithTheHubThatAnswersUntilTheOtherIsHeard)
+// Guards against wrong refusals and badly chosen servers while a hub is down: each second a member
+// leaves the hub that answers for the one that does not, and waits in vain.
+TEST(PeerCalls, AMemberStaysWithTheHubThatAnswersUntilTheOtherAnswers)
 {
     PeerCalls calls = member();
     const std::string first = onlyHub(calls, Start);
@@ -59,7 +60,7 @@
     EXPECT_EQ(calls.overlay().targets(), std::vector<std::string> { first });
 }
 
-// Guards against an instance that takes its own delay for the failure of its hub.
+// Guards against an instance that takes its own delay as a failure of its hub.
 TEST(PeerCalls, AnAbandonedCallDoesNotChangeTheHub)
 {
     PeerCalls calls = member();
@@ -68,8 +69,9 @@
     EXPECT_EQ(onlyHub(calls, Start + 200ms), hub);
 }
 
-// A hub that is overloaded or down is called by all of its members again and again.
-TEST(PeerCalls, AHubThatStaysAwayIsTriedLessAndLessOften)
+// Guards against a hub that is overloaded or down and is called by all of its members again and
+// again.
+TEST(PeerCalls, AHubThatKeepsFailingIsTriedLessOften)
 {
     PeerCalls calls = member();
     const std::string first = onlyHub(calls, Start);
@@ -88,9 +90,10 @@
     EXPECT_LE(tries, 13);
 }
 
-// Customers are refused what they are owed after a hub came back: what a member took meanwhile has
-// been told another hub, and its old hub tells it again to the whole fleet.
-TEST(PeerCalls, EachChangeOfTheHubBeginsAnotherStay)
+// Guards against requests within the quota that are refused after a hub has returned: the use of a
+// member in the meantime was reported to another hub, and its old hub reports it again to all
+// instances.
+TEST(PeerCalls, EachChangeOfTheHubBeginsANewSession)
 {
     PeerCalls calls = member();
     const std::uint64_t first = calls.stayAt("a-00");
--- a/src/snipestall/serving/peer_loads.cpp
+++ b/src/snipestall/serving/peer_loads.cpp
@@ -18,7 +18,7 @@
 {
     ServerLoad sum;
     for (const auto &[peer, report] : m_reports) {
-        if (now - report.heard > LongestAge)
+        if (now - report.receivedAt > MaxReportAge)
             continue;
         const auto found = report.loads.find(server);
         if (found != report.loads.end())
--- a/src/snipestall/serving/placement.cpp
+++ b/src/snipestall/serving/placement.cpp
@@ -12,27 +12,27 @@
 
 namespace {
 
-/// What one request in flight delays the tokens of another, in prompt tokens: an engine's step
-/// grows by a few percent with each request in its batch, so a batch of some dozens weighs like a
-/// prompt of some thousand tokens.
-constexpr double TokensPerRunning = 60;
-/// Beyond its slots a server only queues: each request more waits for one to end, which takes
-/// about as long as reading this many tokens.
-constexpr double TokensPerQueued = 4000;
-/// A call stays in its own data centre unless another one's servers are this much emptier, as a
-/// part of their slots: the way there takes longer and may be cut.
-constexpr double CostElsewhere = 0.35;
-/// A stream that can't be resumed breaks when the path to its server does; between data centres
-/// that is likelier by far. It goes elsewhere only where that saves this many prompt tokens: about
-/// what the queue of a busy server holds.
-constexpr double TokensElsewhereOnce = 4000;
-/// Other streams go on elsewhere then, at the price of reading their prompt again and a late
-/// answer.
-constexpr double TokensElsewhere = 300;
-/// A part of the KV cache is kept free for the output of what runs.
-constexpr double UsablePartOfCache = 0.85;
-
-/// The last part that other requests share; 0 if there is none.
+/// By how much one request in flight delays the tokens of another, in prompt tokens: an engine's
+/// step takes a few percent longer with each request in its batch, so a batch of some dozens costs
+/// as much as a prompt of some thousand tokens.
+constexpr double TokensPerRunningRequest = 60;
+/// A server with all slots in use only queues: each further request waits for another to end, which
+/// takes about as long as reading this many tokens.
+constexpr double TokensPerQueuedRequest = 4000;
+/// A call stays in its own data centre unless the servers of another one are less loaded by this
+/// part of their slots, because the path there takes longer and may be cut.
+constexpr double RemoteCallCost = 0.35;
+/// A stream that cannot be resumed breaks when the path to its server does, which is far more
+/// likely between data centres. It goes to another data centre only where that saves this many
+/// prompt tokens: about as many as the queue of a busy server holds.
+constexpr double RemoteUnrepeatableTokens = 4000;
+/// A stream that can be resumed is continued on another server when the path breaks, at the cost of
+/// reading its prompt again and of a late answer.
+constexpr double RemoteRepeatableTokens = 300;
+/// The rest of the KV cache is kept free for the output of the running requests.
+constexpr double UsableCachePart = 0.85;
+
+/// The id of the last part that is shared with other requests; 0 if there is none.
 std::uint64_t affinityPart(const Prompt &prompt)
 {
     if (prompt.parts.size() < 2)
@@ -40,7 +40,8 @@
     return prompt.parts[prompt.parts.size() - 2].id;
 }
 
-/// The server that all instances agree on for a shared part; empty if the prompt shares none.
+/// The id of the server that all instances agree on for a shared part; empty if the prompt has
+/// none.
 std::string preferredServer(const Prompt &prompt, const std::vector<ServerStatePtr> &servers)
 {
     const std::uint64_t part = affinityPart(prompt);
@@ -53,17 +54,18 @@
     return rendezvousPick(std::to_string(part), ids).value_or(std::string());
 }
 
-/// Requests at a server in prompt tokens; what fits into its memory only.
+/// Cost of the running and queued requests at a server, in prompt tokens, including what does not
+/// fit into its KV cache.
 double runningCost(const ServerState &server, const ServerLoad &load, const EngineProfile &engine,
-                   double needed)
+                   double neededTokens)
 {
-    double cost = load.inFlight * TokensPerRunning;
+    double cost = load.inFlight * TokensPerRunningRequest;
     const int slots = std::max(server.info.slots, 1);
     if (load.inFlight >= static_cast<std::uint32_t>(slots))
-        cost += (load.inFlight - slots + 1) * TokensPerQueued;
-    const double room = engine.cacheTokens * UsablePartOfCache - load.heldTokens;
-    if (needed > room)
-        cost += needed - room;
+        cost += (load.inFlight - slots + 1) * TokensPerQueuedRequest;
+    const double freeTokens = engine.cacheTokens * UsableCachePart - load.heldTokens;
+    if (neededTokens > freeTokens)
+        cost += neededTokens - freeTokens;
     return cost;
 }
 
@@ -87,7 +89,7 @@
             continue;
         (m_servers.usable(*server, now) ? healthy : avoided).push_back(server);
     }
-    // A server under suspicion beats no server at all.
+    // A suspected server is better than none.
     return healthy.empty() ? avoided : healthy;
 }
 
@@ -107,7 +109,7 @@
     double cachedTokens = 0;
     for (std::size_t i = 0; i + 1 < prompt.parts.size(); ++i) {
         const PromptPart &part = prompt.parts[i];
-        // A part counts only if all parts before it are cached too.
+        // A part counts only if all parts before it are cached as well.
         if (server.info.id != preferred && !m_cached.holds(part.id, server.key, now))
             break;
         cachedTokens += part.tokens;
@@ -126,10 +128,11 @@
         ServerLoad load = m_peers.at(server->key, now);
         load += server->own;
         const double toRead = uncached(prompt, *server, preferred, now);
-        const bool elsewhere = server->info.dataCentre != m_dataCentre;
-        const double distance = demand.mayRepeat ? TokensElsewhere : TokensElsewhereOnce;
+        const bool remote = server->info.dataCentre != m_dataCentre;
+        const double remoteTokens =
+            demand.mayRepeat ? RemoteRepeatableTokens : RemoteUnrepeatableTokens;
         const double cost = (load.pendingTokens + toRead) * server->speed.slowness()
-            + (elsewhere ? distance : 0)
+            + (remote ? remoteTokens : 0)
             + runningCost(*server, load, *demand.service->engine,
                           prompt.promptTokens + prompt.maxOutputTokens);
         if (cost >= bestCost)
@@ -140,17 +143,18 @@
     return best;
 }
 
-// Load: instances that see the same figures choose at the same moment. Harm: all choose the same
-// server; so it is left to chance. Failure: copies of a request that ends its server, sent at many
-// instances at once, end as many servers before the first of them is known to have ended. Chance is
-// drawn from a request that nobody has answered yet, so that its copies meet at one server while
-// other requests still spread; once answered, it may be sent by thousands.
+// Load: instances with the same information choose at the same moment. Harm: all choose the same
+// server; ties are therefore broken at random. Failure: copies of a request that crashes its server
+// are sent by many instances at once, and crash as many servers before the first of them is known
+// to have crashed. For a request that no server has answered yet, the random number is therefore
+// derived from the request itself, so that its copies go to one server while other requests are
+// still spread. A request that has been answered may be sent by thousands of callers.
 double Placement::tieBreak(const Demand &demand, const ServerState &server)
 {
     if (!demand.untried)
         return m_random.uniform();
-    const std::uint64_t drawn = stableHash(std::to_string(*demand.untried) + server.key);
-    return static_cast<double>(drawn)
+    const std::uint64_t hash = stableHash(std::to_string(*demand.untried) + server.key);
+    return static_cast<double>(hash)
         / static_cast<double>(std::numeric_limits<std::uint64_t>::max());
 }
 
@@ -163,11 +167,11 @@
         ServerLoad load = m_peers.at(server->key, now);
         load += server->own;
         const double slots = std::max(server->info.slots, 1);
-        // A failure costs the caller a second attempt, so a server that fails a part of its
-        // requests counts as that much fuller.
-        const bool elsewhere = server->info.dataCentre != m_dataCentre;
+        // A failure costs the caller a second attempt, so the failure rate of a server is added to
+        // its load.
+        const bool remote = server->info.dataCentre != m_dataCentre;
         const double cost = load.inFlight / slots + server->health.failureRate()
-            + tieBreak(demand, *server) / slots + (elsewhere ? CostElsewhere : 0);
+            + tieBreak(demand, *server) / slots + (remote ? RemoteCallCost : 0);
         if (cost >= bestCost)
             continue;
         bestCost = cost;
@@ -181,7 +185,7 @@
     if (!demand.prompt)
         return;
     for (std::size_t i = 0; i + 1 < demand.prompt->parts.size(); ++i)
-        m_cached.used(demand.prompt->parts[i].id, server, now);
+        m_cached.recordUse(demand.prompt->parts[i].id, server, now);
 }
 
 void Placement::serverGone(const std::string &server)
--- a/src/snipestall/serving/placement_test.cpp
+++ b/src/snipestall/serving/placement_test.cpp
@@ -86,9 +86,10 @@
     EXPECT_EQ(used.size(), 6U);
 }
 
-// Users of one popular document wait while other servers are idle: everything that shares its
-// prompt goes to one server, whose queue grows past the time that reading the prompt anew takes.
-TEST_F(PlacementTest, AHotPartSpillsOverOnceTheQueueCostsMoreThanReadingItAnew)
+// Guards against callers that wait although other servers are idle: all requests that share the
+// prompt of one popular document go to one server, whose queue takes longer than reading the prompt
+// again.
+TEST_F(PlacementTest, APopularPartSpillsOverOnceTheQueueCostsMoreThanReadingItAgain)
 {
     std::set<std::string> used;
     for (int i = 0; i < 12; ++i) {
@@ -103,9 +104,9 @@
     EXPECT_LT(used.size(), 7U);
 }
 
-// A lookup answers late although servers are idle: a review with a very long prompt is being read
-// where it was sent, and nobody but the instance that sent it knows.
-TEST_F(PlacementTest, PromptsThatPeersHaveWaitingCountLikeOwnOnes)
+// Guards against a short request that is answered late although servers are idle: a very long
+// prompt is being read on its server, and only the instance that sent it knows.
+TEST_F(PlacementTest, QueuedPromptsOfPeersCountLikeOwnOnes)
 {
     const auto first = m_placement.choose(generation(42, 6000), Start);
     m_peers.report("peer", { { first->server->key, { 1, 50000, 50000 } } }, Start);
@@ -115,8 +116,9 @@
     EXPECT_EQ(later->server->info.id, first->server->info.id);
 }
 
-// Two data centres are cut off from each other. A skipper's answer breaks off in the middle and
-// can't be resumed, although a server of the caller's own data centre had been just as free.
+// Guards against an answer that breaks off in the middle and cannot be resumed: two data centres
+// are cut off from each other, and an equally free server of the data centre of the caller was not
+// used.
 TEST_F(PlacementTest, AStreamThatCannotBeResumedStaysInItsDataCentre)
 {
     for (int i = 0; i < 6; ++i)
@@ -134,8 +136,8 @@
     EXPECT_EQ(m_placement.choose(demand, Start)->server->info.dataCentre, "west");
 }
 
-// An editor's longest reviews are late one time in three: a third of the servers is slower, and a
-// prompt that just makes its target on the others does not make it there.
+// Guards against long prompts that are late one time in three: a third of the servers is slower,
+// and a prompt that just meets its target on the other servers does not meet it there.
 TEST_F(PlacementTest, ALongPromptGoesToAFasterServer)
 {
     const auto usual = m_placement.choose(generation(42, 40000), Start);
@@ -148,12 +150,12 @@
     m_servers.compareSpeeds();
     EXPECT_NE(m_placement.choose(generation(42, 40000), Start)->server->info.id,
               usual->server->info.id);
-    // A short one stays where its shared parts are cached.
+    // A short prompt stays where its shared parts are cached.
     EXPECT_EQ(m_placement.choose(generation(42, 6000), Start)->server->info.id,
               usual->server->info.id);
 }
 
-TEST_F(PlacementTest, AServerWithoutRoomInItsCacheIsPassedOver)
+TEST_F(PlacementTest, AServerWithoutFreeCacheIsAvoided)
 {
     const auto first = m_placement.choose(generation(42, 6000), Start);
     first->server->own.heldTokens = 490000;
@@ -161,16 +163,16 @@
     EXPECT_NE(second->server->info.id, first->server->info.id);
 }
 
-TEST_F(PlacementTest, CallsGoWhereFewestRun)
+TEST_F(PlacementTest, CallsGoToTheServerWithTheFewestInFlight)
 {
     for (int i = 0; i < 3; ++i)
         m_servers.find("ledger-" + std::to_string(i))->own.inFlight = 3;
     EXPECT_EQ(m_placement.choose(call(), Start)->server->info.id, "ledger-3");
 }
 
-// Copies of a call that ends its server, sent at several instances at once, would end a server
-// each. Calls that differ go on spreading by chance.
-TEST_F(PlacementTest, CopiesOfAnUntriedCallMeetAtOneServer)
+// Guards against copies of a call that crashes its server: sent by several instances at once, each
+// copy would crash another server. Different calls are still spread at random.
+TEST_F(PlacementTest, CopiesOfAnUnansweredCallGoToOneServer)
 {
     Placement other(m_servers, m_peers, "east", Seed + 1);
     std::set<std::string> used;
@@ -184,9 +186,9 @@
     EXPECT_EQ(used.size(), 4U);
 }
 
-// Callers get failures from a server whose health check is good: it answers fastest, so it always
-// has the fewest requests in flight and draws the most.
-TEST_F(PlacementTest, AServerThatFailsItsRequestsDrawsFewerOfThem)
+// Guards against a server that fails its requests although its health check succeeds: it answers
+// fastest, so it always has the fewest requests in flight and attracts the most.
+TEST_F(PlacementTest, AServerThatFailsItsRequestsGetsFewerOfThem)
 {
     for (int i = 0; i < 20; ++i)
         m_servers.find("ledger-0")->health.failed();
@@ -196,7 +198,7 @@
     EXPECT_EQ(atFailing, 0);
 }
 
-TEST_F(PlacementTest, SuspectedServersAreUsedOnlyWhenNoOtherIsLeft)
+TEST_F(PlacementTest, SuspectedServersAreUsedOnlyIfThereIsNoOther)
 {
     for (int i = 0; i < 3; ++i)
         m_servers.find("ledger-" + std::to_string(i))->health.lost(Start);
@@ -205,9 +207,9 @@
     EXPECT_TRUE(m_placement.choose(call(), Start).has_value());
 }
 
-// A top-up is lost in a network partition between data centres although a server of the own one
-// was idle: it had gone to another data centre for no reason.
-TEST_F(PlacementTest, CallsStayInTheirDataCentreUntilItIsCrowded)
+// Guards against a call that is lost in a network partition between data centres although a server
+// of its own data centre was idle: it was sent to another data centre without need.
+TEST_F(PlacementTest, CallsStayInTheirDataCentreUntilItIsBusy)
 {
     add("ledger", "ledger-far", 6, "west");
     for (int i = 0; i < 100; ++i)
@@ -217,7 +219,7 @@
     EXPECT_EQ(m_placement.choose(call(), Start)->server->info.id, "ledger-far");
 }
 
-TEST_F(PlacementTest, ADataCentreUnderSuspicionIsAvoidedAsAWhole)
+TEST_F(PlacementTest, ASuspectedDataCentreIsAvoidedAsAWhole)
 {
     add("ledger", "ledger-far", 6, "west");
     m_servers.lost(*m_servers.find("ledger-0"), Start);
--- a/src/snipestall/serving/quota_keeper_test.cpp
+++ b/src/snipestall/serving/quota_keeper_test.cpp
@@ -49,7 +49,7 @@
     EXPECT_TRUE(quotas.take("harbour", 1, Start + 3100ms).admitted);
 }
 
-/// Several instances that hear from each other every 200 ms.
+/// Several instances that exchange reports every 200 ms.
 class Instances
 {
 public:
@@ -79,8 +79,8 @@
     std::vector<std::unique_ptr<QuotaKeeper>> m_keepers;
 };
 
-// A customer gets several times its quota: it floods all instances at once, and each of them
-// admits from the whole quota until it hears what the others took.
+// Guards against a customer that gets several times its quota: it floods all instances at once, and
+// each of them admits from the whole quota until it receives the use of the others.
 TEST(QuotaKeeper, AFloodOverAllInstancesStaysNearTheQuota)
 {
     constexpr double Rate = 1000;
@@ -91,7 +91,7 @@
     instances.exchange(now);
     for (int step = 0; step < 800; ++step, now += 10ms) {
         for (std::size_t i = 0; i < instances.size(); ++i) {
-            // Four times the rate in all, in requests of 10 units.
+            // Four times the rate in total, in requests of 10 units.
             if ((step + static_cast<int>(i)) % 2 == 0
                 && instances.at(i).take("harbour", 10, now).admitted)
                 taken += 10;
@@ -104,8 +104,8 @@
     EXPECT_GE(taken, Rate * Seconds * 0.85);
 }
 
-// A customer within its quota is refused: its connections all hash to one instance, which admits
-// only a fixed part of the quota.
+// Guards against refusing a customer within its quota: all its connections hash to one instance,
+// which admits only a fixed part of the quota.
 TEST(QuotaKeeper, OneInstanceMayUseTheWholeQuota)
 {
     Instances instances(9, customer(1000, 1000));
@@ -117,16 +117,16 @@
     }
 }
 
-// A customer gets several times its quota while a network partition separates the instances: each
-// side gives out the whole rate.
-TEST(QuotaKeeper, PeersThatAreSilentKeepTheirShareForAWhile)
+// Guards against a customer that gets several times its quota while a network partition separates
+// the instances: each side admits the whole rate.
+TEST(QuotaKeeper, PeersWithOverdueReportsKeepTheirShareForAWhile)
 {
     Instances instances(4, customer(1000, 1000));
     SteadyTime now = Start;
     instances.exchange(now);
     instances.exchange(now + 200ms);
     ASSERT_TRUE(instances.at(0).take("harbour", 1000, now + 200ms).admitted);
-    // Cut off from all: a quarter of the rate is its own share.
+    // Cut off from all others: its own share is a quarter of the rate.
     now += 5s;
     QuotaKeeper &alone = instances.at(0);
     double taken = 0;
@@ -137,9 +137,9 @@
     EXPECT_LE(taken, 1300);
 }
 
-// A customer is refused half of what it is owed after an instance has changed its hub: the hub that
-// it left keeps the share of the whole fleet as a peer that has fallen silent.
-TEST(QuotaKeeper, AnotherHubTakesThePlaceOfTheOneBefore)
+// Guards against refusing half of a quota after an instance has changed its hub: the previous hub
+// keeps the share of all instances, as a peer that has not reported since.
+TEST(QuotaKeeper, ANewHubReplacesThePreviousOne)
 {
     QuotaKeeper quotas;
     quotas.configure({ customer(1000, 1000) }, Start);
@@ -150,9 +150,10 @@
     EXPECT_TRUE(quotas.take("harbour", 990, Start + 3s).admitted);
 }
 
-// A customer gets more than its quota when instances that have just been added are cut off: they
-// are not in the list that the others have read, and are not counted among the silent ones.
-TEST(QuotaKeeper, AnInstanceAddedLatelyKeepsItsShareWhenItFallsSilent)
+// Guards against a customer that gets more than its quota when instances that were just added are
+// cut off: they are not in the list that the others have read, and are not counted among those
+// whose reports are overdue.
+TEST(QuotaKeeper, ARecentlyAddedInstanceKeepsItsShareWhenItStopsReporting)
 {
     QuotaKeeper quotas;
     quotas.configure({ customer(1000, 5000) }, Start);
@@ -165,13 +166,14 @@
     QuotaVerdict verdict;
     while ((verdict = quotas.take("harbour", 10, Start + 2s)).admitted)
         taken += 10;
-    // Two of four instances are heard: half of the rate for two seconds.
+    // Two of four instances report: half of the rate for two seconds.
     EXPECT_NEAR(taken + verdict.free, 1000, 1);
 }
 
-// A customer gets several times its quota while a data centre is cut off: members see it through
-// their hub only, which still counts the instances that it no longer hears.
-TEST(QuotaKeeper, AMemberKeepsTheShareOfInstancesThatItsHubNoLongerHears)
+// Guards against a customer that gets several times its quota while a data centre is cut off:
+// members receive reports only through their hub, which still counts the instances that no longer
+// report to it.
+TEST(QuotaKeeper, AMemberKeepsTheShareOfInstancesThatNoLongerReportToItsHub)
 {
     QuotaKeeper quotas;
     quotas.configure({ customer(1000, 1000) }, Start);
@@ -179,7 +181,7 @@
     EXPECT_TRUE(quotas.take("harbour", 1000, Start).admitted);
     for (auto passed = 0ms; passed <= 2s; passed += 200ms) {
         quotas.peerUse("hub", { 1, 299, 149, true }, {}, Start + passed);
-        // Filled as it goes, by the share that is heard at the time.
+        // Refills the bucket at each step, by the share of the instances that report at that time.
         quotas.configure({ customer(1000, 1000) }, Start + passed);
     }
     double taken = 0;
@@ -190,9 +192,9 @@
     EXPECT_NEAR(taken + verdict.free, 1000, 1);
 }
 
-// A customer gets far more than its quota right after all instances were killed at once: each of
-// them starts without knowing of the others and fills its bucket at the whole rate.
-TEST(QuotaKeeper, InstancesThatStartTogetherDoNotEachGiveOutTheWholeRate)
+// Guards against a customer that gets far more than its quota right after all instances were killed
+// at once: each of them starts without knowing the others and fills its bucket at the whole rate.
+TEST(QuotaKeeper, InstancesThatStartTogetherDoNotEachAdmitTheWholeRate)
 {
     constexpr int Count = 84;
     double taken = 0;
@@ -209,9 +211,9 @@
     EXPECT_GE(taken, 100);
 }
 
-// A customer above its quota is suddenly refused nearly everything for seconds: two reports of a
-// peer arrive a millisecond apart, what was asked between them counts as a flood, and the chance to
-// be admitted falls to almost nothing.
+// Guards against refusing nearly all requests of a customer above its quota for seconds: two
+// reports of a peer arrive a millisecond apart, the units requested between them look like a flood,
+// and the probability of admission falls to almost nothing.
 TEST(QuotaKeeper, ReportsThatArriveTogetherDoNotLookLikeAFlood)
 {
     QuotaKeeper quotas;
@@ -219,7 +221,7 @@
     ASSERT_TRUE(quotas.take("harbour", 1000, Start).admitted);
     QuotaUse use;
     SteadyTime now = Start;
-    // The peer takes all that there is, so nothing is left over here.
+    // The peer takes everything that is available, so nothing remains here.
     for (int i = 0; i < 10; ++i, now += 200ms) {
         use["harbour"].asked += 200;
         use["harbour"].taken += 200;
@@ -233,8 +235,8 @@
     EXPECT_GE(admitted, 5);
 }
 
-// A skipper's long prompt is never served while small requests of the same customer are: those
-// take what is free before it suffices for a large one.
+// Guards against a long prompt that is never served while small requests of the same customer are:
+// those take what is free before it suffices for a large one.
 TEST(QuotaKeeper, LargeRequestsAreServedAsOftenAsOthersInAFlood)
 {
     Instances instances(4, customer(1000, 1000));
@@ -250,14 +252,14 @@
         if (step % 20 == 19)
             instances.exchange(now);
     }
-    // 200 and 3,800 of them were asked for.
+    // 200 and 3,800 requests were sent.
     EXPECT_GE(large * 19, small * 7 / 10);
 }
 
-// A customer gets 3% more than its quota and all tolerance allow in the eight seconds around a kill
-// of all instances: those that start again know nothing of what was given out just before, nor of
-// what the others give out until they are heard.
-TEST(QuotaKeeper, AFloodThatGoesOnThroughARestartOfAllInstancesStaysWithinTheTolerance)
+// Guards against a customer that gets 3% more than its quota including the whole tolerance in the
+// eight seconds around a kill of all instances: the restarted instances know neither what was
+// admitted just before nor what the others admit until their first reports.
+TEST(QuotaKeeper, AFloodDuringARestartOfAllInstancesStaysWithinTheTolerance)
 {
     constexpr double Rate = 1000;
     constexpr double Burst = 1000;
@@ -291,7 +293,7 @@
         if (step == 600)
             keepers = makeInstances(true, now);
         for (std::size_t i = 0; i < keepers.size(); ++i) {
-            // Six times the rate in all.
+            // Six times the rate in total.
             if ((step + static_cast<int>(i)) % 4 == 0
                 && keepers[i]->take("harbour", 12, now).admitted)
                 taken += 12;
@@ -304,8 +306,8 @@
     EXPECT_GE(taken, Rate * 8 * 0.8);
 }
 
-// A customer with a burst of ten seconds of its rate gets nothing for as long after every restart:
-// the debt that a joining process starts with was a part of the burst.
+// Guards against a customer with a burst of ten seconds of its rate that gets nothing for as long
+// after every restart: the debt with which a joining process starts was a part of the burst.
 TEST(QuotaKeeper, ALargeBurstDoesNotKeepAJoiningProcessFromServing)
 {
     QuotaKeeper quotas;
@@ -315,7 +317,7 @@
     EXPECT_TRUE(quotas.take("harbour", 100, Start + 1s).admitted);
 }
 
-TEST(QuotaKeeper, ALoweredQuotaCountsAtOnce)
+TEST(QuotaKeeper, ALoweredQuotaAppliesAtOnce)
 {
     QuotaKeeper quotas;
     quotas.configure({ customer(1000, 5000) }, Start);
@@ -324,8 +326,8 @@
     EXPECT_FALSE(quotas.take("harbour", 10, Start + 1s).admitted);
 }
 
-/// A hub that speaks for 59 instances, which use `perSecond` units, every 200 ms until `end`.
-void hearHub(QuotaKeeper &quotas, double perSecond, SteadyTime end)
+/// Reports of a hub for 59 instances, which use `perSecond` units, every 200 ms until `end`.
+void receiveHubReports(QuotaKeeper &quotas, double perSecond, SteadyTime end)
 {
     constexpr auto Interval = 200ms;
     for (SteadyTime now = Start; now <= end; now += Interval) {
@@ -334,42 +336,43 @@
     }
 }
 
-/// Its bucket fills while callers ask for hardly anything.
-void askForLittle(QuotaKeeper &quotas, SteadyTime from, SteadyTime end)
+/// Lets the bucket fill while callers request almost nothing.
+void requestLittle(QuotaKeeper &quotas, SteadyTime from, SteadyTime end)
 {
     for (SteadyTime now = from; now <= end; now += 100ms)
         quotas.take("harbour", 0.1, now);
 }
 
-// Guards against a quota that is given out twice: instances that a partition separates from their
-// hub took what the fleet used until they noticed it for unused.
-TEST(QuotaKeeper, WhatTheFleetUsesAfterItsHubFallsSilentIsNotGivenOutAgain)
+// Guards against a quota that is admitted twice: instances that a partition separates from their
+// hub took as unused what the others used until the partition was noticed.
+TEST(QuotaKeeper, UseAfterTheLastReportOfAHubIsNotAdmittedAgain)
 {
     QuotaKeeper quotas;
     quotas.configure({ customer(1000, 1000) }, Start);
-    hearHub(quotas, 1500, Start + 2s);
-    askForLittle(quotas, Start + 2s, Start + 3500ms);
+    receiveHubReports(quotas, 1500, Start + 2s);
+    requestLittle(quotas, Start + 2s, Start + 3500ms);
     EXPECT_FALSE(quotas.take("harbour", 500, Start + 3600ms).admitted);
 }
 
-// Guards against refusals of what is owed when a hub stops: the fleet used less than the quota, and
-// the bucket was full.
-TEST(QuotaKeeper, ACustomerWithinItsQuotaIsServedAfterItsHubFallsSilent)
+// Guards against refusals within the quota when a hub stops: the instances used less than the
+// quota, and the bucket was full.
+TEST(QuotaKeeper, ACustomerWithinItsQuotaIsServedAfterTheLastReportOfAHub)
 {
     QuotaKeeper quotas;
     quotas.configure({ customer(1000, 1000) }, Start);
-    hearHub(quotas, 800, Start + 2s);
-    askForLittle(quotas, Start + 2s, Start + 3500ms);
+    receiveHubReports(quotas, 800, Start + 2s);
+    requestLittle(quotas, Start + 2s, Start + 3500ms);
     EXPECT_TRUE(quotas.take("harbour", 400, Start + 3600ms).admitted);
 }
 
-// Guards against a use that counts twice: the hub was late only, and tells how little was used.
-TEST(QuotaKeeper, AHubThatIsHeardAgainTellsWhatWasChargedForIt)
+// Guards against use that counts twice: the hub was only late, and its report shows how little was
+// used.
+TEST(QuotaKeeper, AHubThatReportsAgainReplacesTheEstimate)
 {
     QuotaKeeper quotas;
     quotas.configure({ customer(1000, 1000) }, Start);
-    hearHub(quotas, 1500, Start + 2s);
-    askForLittle(quotas, Start + 2s, Start + 3600ms);
+    receiveHubReports(quotas, 1500, Start + 2s);
+    requestLittle(quotas, Start + 2s, Start + 3600ms);
     quotas.peerUse("hub", { 1, 59, 59, true }, { { "harbour", { 3000, 3000 } } }, Start + 3600ms);
     EXPECT_TRUE(quotas.take("harbour", 400, Start + 3600ms).admitted);
 }
--- a/src/snipestall/serving/retry_allowance_test.cpp
+++ b/src/snipestall/serving/retry_allowance_test.cpp
@@ -9,8 +9,8 @@
 
 const SteadyTime Start { 100s };
 
-// A service does not recover from a short failure: every request fails and is repeated, so the
-// servers get twice the load that they failed under.
+// Guards against a service that does not recover from a short failure: every request fails and is
+// repeated, so the servers get twice the load under which they failed.
 TEST(RetryAllowance, RepeatsStayAPartOfFirstAttempts)
 {
     RetryAllowance allowance({ 10s, 0.2, 0 });
@@ -43,7 +43,7 @@
     EXPECT_TRUE(allowance.repeat("ledger", Start + 10s + 500ms));
 }
 
-TEST(RetryAllowance, ServicesCountApart)
+TEST(RetryAllowance, ServicesCountSeparately)
 {
     RetryAllowance allowance({ 10s, 0.2, 10 });
     while (allowance.repeat("ledger", Start)) { }
--- a/src/snipestall/serving/server_health.cpp
+++ b/src/snipestall/serving/server_health.cpp
@@ -6,10 +6,10 @@
 
 void ServerHealth::lost(SteadyTime now)
 {
-    constexpr int MostDoublings = 3;
-    const int doublings = std::min(m_lostInRow, MostDoublings);
-    m_avoidUntil = now + std::min(FirstPause * (1 << doublings), LongestPause);
-    ++m_lostInRow;
+    constexpr int MaxDoublings = 3;
+    const int doublings = std::min(m_consecutiveLosses, MaxDoublings);
+    m_avoidUntil = now + std::min(InitialPause * (1 << doublings), MaxPause);
+    ++m_consecutiveLosses;
     m_failureRate += (1 - m_failureRate) * Smoothing;
 }
 
@@ -20,7 +20,7 @@
 
 void ServerHealth::answered()
 {
-    m_lostInRow = 0;
+    m_consecutiveLosses = 0;
     m_avoidUntil = {};
     m_failureRate -= m_failureRate * Smoothing;
 }
--- a/src/snipestall/serving/server_speed.cpp
+++ b/src/snipestall/serving/server_speed.cpp
@@ -15,7 +15,7 @@
 void ServerSpeed::compareWith(std::chrono::duration<double> usual)
 {
     if (m_pause && usual.count() > 0)
-        m_slowness = std::clamp(*m_pause / usual, LeastSlowness, MostSlowness);
+        m_slowness = std::clamp(*m_pause / usual, MinSlowness, MaxSlowness);
 }
 
 } // namespace snipestall::serving
