--- a/src/snipestall/serving/server_table.cpp
+++ b/src/snipestall/serving/server_table.cpp
@@ -11,27 +11,27 @@
 std::string keyOf(const BackendServer &server)
 {
     using std::chrono::milliseconds;
-    const auto born = std::chrono::duration_cast<milliseconds>(server.born.time_since_epoch());
-    return server.id + "@" + std::to_string(born.count());
+    const auto startedAt = std::chrono::duration_cast<milliseconds>(server.born.time_since_epoch());
+    return server.id + "@" + std::to_string(startedAt.count());
 }
 
 } // namespace
 
 Listing ServerTable::put(const BackendServer &server, SteadyTime now)
 {
-    const auto left = m_departed.find(server.id);
-    if (left != m_departed.end()) {
-        if (server.born < left->second)
+    const auto departed = m_departed.find(server.id);
+    if (departed != m_departed.end()) {
+        if (server.born < departed->second)
             return { Listing::Kind::Ignored, nullptr };
-        if (server.born == left->second)
-            return awaitProof(server, now);
-        m_departed.erase(left);
+        if (server.born == departed->second)
+            return awaitRenewals(server, now);
+        m_departed.erase(departed);
         m_returning.erase(server.id);
     }
     const ServerStatePtr known = find(server.id);
     if (known && server.born < known->info.born)
         return { Listing::Kind::Ignored, nullptr };
-    m_lapsed.erase(server.id);
+    m_expiring.erase(server.id);
     if (known && server.born == known->info.born) {
         update(*known, server, now);
         return { Listing::Kind::Changed, nullptr };
@@ -46,18 +46,18 @@
 
 void ServerTable::update(ServerState &state, const BackendServer &server, SteadyTime now) const
 {
-    // Leaving is final for one incarnation, whatever an older copy of the entry says.
+    // Leaving is final for an incarnation, so an older copy of the entry does not change it.
     const bool leaving = state.info.leaving || server.leaving;
     state.info = server;
     state.info.leaving = leaving;
-    // A server that leaves as planned lets its requests end; one that is taken back can't.
+    // A server that leaves as planned lets its requests end; a reclaimed one cannot.
     if (server.leavesIn)
         state.leavesAt = now + *server.leavesIn;
     else if (leaving && server.reclaimable && !state.leavesAt)
         state.leavesAt = now + m_drain;
 }
 
-Listing ServerTable::awaitProof(const BackendServer &server, SteadyTime now)
+Listing ServerTable::awaitRenewals(const BackendServer &server, SteadyTime now)
 {
     if (server.leaving) {
         m_returning.erase(server.id);
@@ -65,44 +65,44 @@
     }
     const auto [found, added] = m_returning.try_emplace(server.id);
     if (added)
-        found->second.provedAt = now + m_proofTime;
+        found->second.readmitAt = now + m_readmitDelay;
     found->second.info = server;
     return { Listing::Kind::Returning, nullptr };
 }
 
 std::vector<ServerStatePtr> ServerTable::readmit(SteadyTime now)
 {
-    std::vector<BackendServer> proved;
+    std::vector<BackendServer> ready;
     for (const auto &[id, returning] : m_returning) {
-        if (now >= returning.provedAt)
-            proved.push_back(returning.info);
+        if (now >= returning.readmitAt)
+            ready.push_back(returning.info);
     }
-    std::vector<ServerStatePtr> back;
-    back.reserve(proved.size());
-    for (const BackendServer &server : proved) {
+    std::vector<ServerStatePtr> readmitted;
+    readmitted.reserve(ready.size());
+    for (const BackendServer &server : ready) {
         m_departed.erase(server.id);
         m_returning.erase(server.id);
         put(server, now);
-        back.push_back(find(server.id));
+        readmitted.push_back(find(server.id));
     }
-    return back;
+    return readmitted;
 }
 
 ServerStatePtr ServerTable::remove(const std::string &id)
 {
     m_returning.erase(id);
     const ServerStatePtr known = drop(id);
-    if (m_departed.size() >= MostDeparted)
+    if (m_departed.size() >= MaxDeparted)
         m_departed.clear();
-    WallTime &born = m_departed[id];
+    WallTime &lastStart = m_departed[id];
     if (known)
-        born = std::max(born, known->info.born);
+        lastStart = std::max(lastStart, known->info.born);
     return known;
 }
 
 ServerStatePtr ServerTable::drop(const std::string &id)
 {
-    m_lapsed.erase(id);
+    m_expiring.erase(id);
     const auto found = m_servers.find(id);
     if (found == m_servers.end())
         return nullptr;
@@ -116,13 +116,13 @@
 {
     m_returning.erase(id);
     if (m_servers.contains(id))
-        m_lapsed.try_emplace(id, until);
+        m_expiring.try_emplace(id, until);
 }
 
 std::vector<ServerStatePtr> ServerTable::expireLapsed(SteadyTime now)
 {
     std::vector<std::string> due;
-    for (const auto &[id, until] : m_lapsed) {
+    for (const auto &[id, until] : m_expiring) {
         if (now >= until)
             due.push_back(id);
     }
--- a/src/snipestall/serving/server_table_test.cpp
+++ b/src/snipestall/serving/server_table_test.cpp
@@ -18,8 +18,8 @@
     return made;
 }
 
-// A caller's request is cut: a backend server announces that it leaves, a copy of its entry from
-// before arrives late, and the server gets new work until it exits.
+// Guards against a request that is cut off: a backend server announces that it leaves, an older
+// copy of its entry arrives late, and the server gets new requests until it exits.
 TEST(ServerTable, LeavingIsFinalWhateverAnOlderEntrySays)
 {
     ServerTable table;
@@ -28,8 +28,9 @@
     EXPECT_FALSE(table.find("i-1")->takesWork());
 }
 
-// Streams break off in a reclaim: the list says that their servers leave, not when.
-TEST(ServerTable, AReclaimedServerServesForTheDrainBoundFromWhenItsLeavingWasFirstListed)
+// Guards against streams that break off in a reclaim: the list contains that their servers leave,
+// but not when.
+TEST(ServerTable, AReclaimedServerServesForTheDrainTimeAfterItsLeavingWasFirstListed)
 {
     ServerTable table(2000ms);
     BackendServer leaving = server("i-1", true);
@@ -44,7 +45,7 @@
     EXPECT_EQ(table.find("i-1")->leavesAt, Start + 2500ms);
 }
 
-TEST(ServerTable, AnIdThatLeftNeverComesBack)
+TEST(ServerTable, AnIncarnationThatLeftIsNotAddedAgain)
 {
     ServerTable table;
     table.put(server("i-1"), Start);
@@ -53,9 +54,10 @@
     EXPECT_EQ(table.find("i-1"), nullptr);
 }
 
-// After an outage of the store every request is refused: the servers' entries lapsed while the
-// store was away, their removal arrives first, and the servers list themselves again only after.
-TEST(ServerTable, LapsedEntriesStayUntilTheServersHadTimeToListThemselves)
+// Guards against refusing every request after an outage of the store: the entries of the servers
+// expired while the store was unavailable, their removals arrive first, and the servers list
+// themselves again only afterwards.
+TEST(ServerTable, ExpiredEntriesStayUntilTheServersHadTimeToListThemselves)
 {
     ServerTable table;
     table.put(server("back"), Start);
@@ -73,10 +75,10 @@
     EXPECT_EQ(table.find("dead"), nullptr);
 }
 
-// After an outage of the store a third of the servers stays idle for good: they listed themselves
-// again a moment after their lapsed entries were taken as gone, and were taken for servers that
-// left.
-TEST(ServerTable, ALapsedServerThatListsItselfLateServesAgain)
+// Guards against a third of the servers being idle permanently after an outage of the store: they
+// listed themselves again a moment after their expired entries were taken as gone, and were taken
+// as servers that had left.
+TEST(ServerTable, AServerWithAnExpiredEntryThatListsItselfLateServesAgain)
 {
     ServerTable table;
     table.put(server("i-1"), Start);
@@ -87,36 +89,36 @@
     EXPECT_TRUE(table.find("i-1")->takesWork());
 }
 
-BackendServer bornAt(std::chrono::seconds born, bool leaving = false)
+BackendServer startedAt(std::chrono::seconds start, bool leaving = false)
 {
     BackendServer made = server("i-1", leaving);
-    made.born = WallTime(born);
+    made.born = WallTime(start);
     return made;
 }
 
-// A broker's requests find no portal server: one crashed, came back under its id, and was taken for
-// the one that had left the list.
+// Guards against requests that find no server: a server crashed, started again under its id, and
+// was taken as the one that had left the list.
 TEST(ServerTable, AServerThatStartsAgainUnderItsIdServesAtOnce)
 {
     ServerTable table;
-    table.put(bornAt(10s), Start);
+    table.put(startedAt(10s), Start);
     table.remove("i-1");
-    EXPECT_EQ(table.put(bornAt(20s), Start + 1s).kind, Listing::Kind::Added);
+    EXPECT_EQ(table.put(startedAt(20s), Start + 1s).kind, Listing::Kind::Added);
     ASSERT_NE(table.find("i-1"), nullptr);
     EXPECT_TRUE(table.find("i-1")->takesWork());
 }
 
-// A restarted server is avoided for what its predecessor did, and prompts are sent to it for a
-// cache that it lost: its entry changed without ever having left the list.
-TEST(ServerTable, WhatIsKnownBelongsToOneIncarnation)
+// Guards against a restarted server that is avoided because of its predecessor, or gets prompts for
+// a cache that it has lost: its entry changed without ever having left the list.
+TEST(ServerTable, StateBelongsToOneIncarnation)
 {
     ServerTable table;
-    table.put(bornAt(10s, true), Start);
+    table.put(startedAt(10s, true), Start);
     const ServerStatePtr before = table.find("i-1");
     before->own.inFlight = 3;
     for (int i = 0; i < 3; ++i)
         table.lost(*before, Start);
-    const Listing listing = table.put(bornAt(20s), Start + 1s);
+    const Listing listing = table.put(startedAt(20s), Start + 1s);
     EXPECT_EQ(listing.ended, before);
     EXPECT_TRUE(before->departed);
     const ServerStatePtr after = table.find("i-1");
@@ -126,52 +128,53 @@
     EXPECT_TRUE(after->takesWork());
 }
 
-// Requests go to a server that has ended: a late copy of its entry comes after that of the server
-// that runs under the id now, or after that one has left, too.
-TEST(ServerTable, AnOlderIncarnationNeverComesBack)
+// Guards against requests that are sent to a server that has ended: a late copy of its entry
+// arrives after the entry of the server that now runs under the id, or after that server has left
+// too.
+TEST(ServerTable, AnOlderIncarnationIsNeverAddedAgain)
 {
     ServerTable table;
-    table.put(bornAt(10s), Start);
-    table.put(bornAt(20s, true), Start + 1s);
-    EXPECT_EQ(table.put(bornAt(10s), Start + 2s).kind, Listing::Kind::Ignored);
+    table.put(startedAt(10s), Start);
+    table.put(startedAt(20s, true), Start + 1s);
+    EXPECT_EQ(table.put(startedAt(10s), Start + 2s).kind, Listing::Kind::Ignored);
     EXPECT_FALSE(table.find("i-1")->takesWork());
     table.remove("i-1");
-    EXPECT_EQ(table.put(bornAt(10s), Start + 3s).kind, Listing::Kind::Ignored);
+    EXPECT_EQ(table.put(startedAt(10s), Start + 3s).kind, Listing::Kind::Ignored);
     EXPECT_TRUE(table.readmit(Start + 60s).empty());
     EXPECT_EQ(table.find("i-1"), nullptr);
 }
 
-// A data centre's servers stay idle for good after a network partition: they could not renew their
-// entries, the entries were removed, and the servers list themselves again under the same
-// incarnation when the partition ends.
+// Guards against servers of a data centre that stay idle permanently after a network partition:
+// they could not renew their entries, the entries were removed, and the servers list themselves
+// again as the same incarnation when the partition ends.
 TEST(ServerTable, AServerThatWasCutOffServesAgainOnceItsEntryHasBeenRenewed)
 {
     ServerTable table(2000ms, 1200ms);
-    table.put(bornAt(10s), Start);
+    table.put(startedAt(10s), Start);
     table.remove("i-1");
-    EXPECT_EQ(table.put(bornAt(10s), Start + 5s).kind, Listing::Kind::Returning);
+    EXPECT_EQ(table.put(startedAt(10s), Start + 5s).kind, Listing::Kind::Returning);
     EXPECT_TRUE(table.readmit(Start + 9s).empty());
     EXPECT_EQ(table.find("i-1"), nullptr);
     ASSERT_EQ(table.readmit(Start + 10s).size(), 1U);
     EXPECT_TRUE(table.find("i-1")->takesWork());
 }
 
-// A request reaches a server that left without a word: an entry that it had written before it left
-// came late, and nobody renews it.
-TEST(ServerTable, AnEntryThatNobodyRenewsProvesNothing)
+// Guards against a request that is sent to a server that left without an announcement: an entry
+// that it had written before arrived late, and nobody renews it.
+TEST(ServerTable, AnEntryThatIsNotRenewedDoesNotReadmitAServer)
 {
     ServerTable table(2000ms, 1200ms);
-    table.put(bornAt(10s), Start);
+    table.put(startedAt(10s), Start);
     table.remove("i-1");
-    table.put(bornAt(10s), Start + 1s);
+    table.put(startedAt(10s), Start + 1s);
     table.remove("i-1");
     EXPECT_TRUE(table.readmit(Start + 60s).empty());
-    EXPECT_EQ(table.put(bornAt(10s, true), Start + 61s).kind, Listing::Kind::Ignored);
+    EXPECT_EQ(table.put(startedAt(10s, true), Start + 61s).kind, Listing::Kind::Ignored);
     EXPECT_TRUE(table.readmit(Start + 120s).empty());
     EXPECT_EQ(table.find("i-1"), nullptr);
 }
 
-TEST(ServerTable, WorkThatRunsKeepsItsServerAfterTheEntryIsGone)
+TEST(ServerTable, RunningRequestsKeepTheirServerAfterItsEntryIsRemoved)
 {
     ServerTable table;
     table.put(server("i-1"), Start);
--- a/src/snipestall/serving/shutdown_plan.cpp
+++ b/src/snipestall/serving/shutdown_plan.cpp
@@ -8,10 +8,10 @@
 
 ShutdownPlan::ShutdownPlan(SteadyTime signalled, milliseconds grace)
     : m_signalled(signalled)
-    , m_answerAt(signalled + std::max(grace - LastAnswersMargin, milliseconds(0)))
+    , m_lastAnswerAt(signalled + std::max(grace - LastAnswerMargin, milliseconds(0)))
     , m_endAt(signalled + std::max(grace - EndMargin, milliseconds(0)))
 {
-    m_refuseAt = std::min(signalled + TakeWorkFor, m_answerAt);
+    m_refuseAt = std::min(signalled + TakeWorkFor, m_lastAnswerAt);
 }
 
 } // namespace snipestall::serving
--- a/src/snipestall/serving/shutdown_plan_test.cpp
+++ b/src/snipestall/serving/shutdown_plan_test.cpp
@@ -6,8 +6,8 @@
 
 using namespace std::chrono_literals;
 
-// Guards against work that is taken so late that the end of the grace cuts it off.
-TEST(ShutdownPlan, WorkIsTakenForAPartOfTheGraceOnly)
+// Guards against requests that are accepted so late that the end of the grace period cuts them off.
+TEST(ShutdownPlan, RequestsAreAcceptedForAPartOfTheGracePeriodOnly)
 {
     const SteadyTime signalled { 100s };
     const ShutdownPlan plan(signalled, 8s);
@@ -19,8 +19,8 @@
     EXPECT_TRUE(plan.mustEnd(signalled + 7900ms, 0ms));
 }
 
-// Guards against a grace shorter than the time for which work is taken.
-TEST(ShutdownPlan, AShortGraceLeavesTimeForLastAnswers)
+// Guards against a grace period that is shorter than the time for which requests are accepted.
+TEST(ShutdownPlan, AShortGracePeriodLeavesTimeForLastAnswers)
 {
     const SteadyTime signalled { 100s };
     const ShutdownPlan plan(signalled, 2s);
@@ -30,7 +30,7 @@
     EXPECT_TRUE(plan.mustEnd(signalled + 1900ms, 0ms));
 }
 
-// Guards against a process that is killed before it comes to its own end.
+// Guards against a process that is killed before it ends by itself.
 TEST(ShutdownPlan, AProcessThatRunsLateEndsEarlier)
 {
     const SteadyTime signalled { 100s };
--- a/src/snipestall/serving/stall_rule_test.cpp
+++ b/src/snipestall/serving/stall_rule_test.cpp
@@ -9,9 +9,10 @@
 
 const SteadyTime Start { 100s };
 
-// A caller gets its first token after two seconds although servers are idle: the one that was
-// chosen lost its power, no reset came, and the connection's own timeout was waited for.
-TEST(StallRule, ASilentServerIsGivenUpWellBeforeTheConnectionsTimeout)
+// Guards against a first token that arrives after two seconds although servers are idle: the chosen
+// server lost its power, no connection reset arrived, and the instance waited for the timeout of
+// the connection.
+TEST(StallRule, AnUnresponsiveServerIsGivenUpWellBeforeTheConnectionTimeout)
 {
     const WaitingAttempt attempt { Start, Start - 1s, 0ms };
     EXPECT_FALSE(isStalled(attempt, Start + 400ms));
--- a/src/snipestall/serving/stream_pace_test.cpp
+++ b/src/snipestall/serving/stream_pace_test.cpp
@@ -9,7 +9,7 @@
 
 const SteadyTime Start { 100s };
 
-TEST(StreamPace, SaysNothingAfterFewEvents)
+TEST(StreamPace, HasNoMedianAfterFewEvents)
 {
     StreamPace pace;
     for (int i = 0; i < 6; ++i)
@@ -17,9 +17,9 @@
     EXPECT_FALSE(pace.median());
 }
 
-// A server looks slow because one long prompt was read beside a stream, or fast because a delayed
-// event arrived together with the next one.
-TEST(StreamPace, OneLongPauseAndOneThatIsMadeUpForDoNotCount)
+// Guards against a server that looks slow because one long prompt was read beside a stream, or fast
+// because a delayed event arrived together with the next one.
+TEST(StreamPace, OneLongPauseAndTheShortOneAfterItDoNotCount)
 {
     StreamPace pace;
     for (int i = 0; i < 10; ++i)
--- a/src/snipestall/serving/usage_ledger.cpp
+++ b/src/snipestall/serving/usage_ledger.cpp
@@ -13,7 +13,7 @@
     }
 }
 
-bool UsageLedger::knows(std::int64_t window, const std::string &process) const
+bool UsageLedger::hasCounts(std::int64_t window, const std::string &process) const
 {
     const auto found = m_windows.find(window);
     return found != m_windows.end() && found->second.contains(process);
--- a/src/snipestall/serving/usage_ledger_test.cpp
+++ b/src/snipestall/serving/usage_ledger_test.cpp
@@ -5,9 +5,10 @@
 namespace snipestall::serving {
 namespace {
 
-// Customers are billed twice, or too little: a process's counts reach the holder of the duty by its
-// own row, by its hub's and by peers' reports, in any order and as of different moments.
-TEST(UsageLedger, OfSeveralStatementsOfAProcessTheGreaterCounts)
+// Guards against usage that counts twice or too low: the counts of a process reach the holder of
+// the lease by its own row, the row of its hub and the reports of peers, in any order and from
+// different times.
+TEST(UsageLedger, TheGreatestOfSeveralReportsOfAProcessCounts)
 {
     UsageLedger ledger;
     ledger.said(7, "a/1", { { "harbour", 10 } });
@@ -18,7 +19,7 @@
     EXPECT_EQ(ledger.of(7).at("a/1"), (UsageCounts { { "harbour", 12 }, { "ferry", 1 } }));
 }
 
-TEST(UsageLedger, AProcessThatStartedAgainCountsBesideTheOneBefore)
+TEST(UsageLedger, ARestartedProcessCountsInAdditionToThePreviousOne)
 {
     UsageLedger ledger;
     ledger.said(7, "a/1", { { "harbour", 10 } });
@@ -26,7 +27,7 @@
     EXPECT_EQ(ledger.total(7), (UsageCounts { { "harbour", 13 } }));
 }
 
-TEST(UsageLedger, NothingIsKnownOfAWindowThatWasDropped)
+TEST(UsageLedger, ADroppedWindowHasNoCounts)
 {
     UsageLedger ledger;
     ledger.said(7, "a/1", { { "harbour", 10 } });
