--- a/apps/snipestalld/main.cpp
+++ b/apps/snipestalld/main.cpp
@@ -22,8 +22,8 @@
 #include <optional>
 #include <sstream>
 
-DEFINE_string(settings, "", "local settings file (YAML); see docs/operations.md");
-DEFINE_bool(check, false, "check the local settings file, say what is wrong with it, and exit");
+DEFINE_string(settings, "", "path of the local settings file (YAML); see docs/operations.md");
+DEFINE_bool(check, false, "check the local settings file, report its faults and exit");
 
 namespace {
 
@@ -40,7 +40,7 @@
 {
     std::ifstream file(FLAGS_settings);
     if (!file) {
-        std::cerr << "can't read '" << FLAGS_settings << "'; name the file with --settings\n";
+        std::cerr << "cannot read '" << FLAGS_settings << "'; give the file with --settings\n";
         return std::nullopt;
     }
     std::stringstream text;
@@ -59,7 +59,7 @@
 int run(LocalSettings local)
 {
     boost::asio::io_context io(1);
-    // Outlives the node, whose requests report to it to their end.
+    // Must outlive the node, because requests report to the metrics until they are destroyed.
     const auto metrics = snipestall::admin::Metrics::create();
     auto node = Node::create(io, std::move(local));
     if (!node) {
@@ -108,7 +108,7 @@
 
 int main(int argc, char **argv)
 {
-    gflags::SetUsageMessage("one entry instance of snipestall, all roles in it\n"
+    gflags::SetUsageMessage("Runs one entry instance of snipestall with all its roles.\n"
                             "  snipestalld --settings FILE [--check]");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     snipestall::initLog(snipestall::LogFormat::Text, snipestall::Severity::Info);
--- a/apps/snipestalld/node_status.hpp
+++ b/apps/snipestalld/node_status.hpp
@@ -8,7 +8,7 @@
 class Node;
 }
 
-/// Shows a node to operators.
+/// Provides the status of a node for the operators' API.
 class NodeStatus final : public snipestall::admin::StatusSource
 {
 public:
--- a/include/snipestall/entry/caller_api.hpp
+++ b/include/snipestall/entry/caller_api.hpp
@@ -33,8 +33,8 @@
 class Dispatcher;
 class RequestStore;
 
-/// What the API works with; all outlive it.
-struct CallerApiLinks
+/// Components that the API uses; all must outlive it.
+struct CallerApiDependencies
 {
     boost::asio::io_context *io = nullptr;
     RequestStore *store = nullptr;
@@ -45,17 +45,19 @@
     peer::RecordKeeper *records = nullptr;
 };
 
-/// The callers' HTTP interface; see docs/api.md.
+/// The HTTP interface for callers; see docs/api.md.
 class CallerApi
 {
 public:
-    CallerApi(CallerApiLinks links, std::uint64_t seed);
+    /// `seed` initialises the generator of request ids.
+    CallerApi(CallerApiDependencies dependencies, std::uint64_t seed);
     ~CallerApi();
 
     wire::HttpServer::Handler handler();
-    /// Refuses new requests as not run from now on; answers under way go on.
+    /// Refuses new requests as not run from now on; answers in progress continue.
     void beginDrain() { m_draining = true; }
-    /// The settings have been confirmed by the platform or a peer since this process began.
+    /// Starts serving requests. Called once the platform or a peer has confirmed the settings since
+    /// this process started.
     void setReady() { m_ready = true; }
     [[nodiscard]] bool ready() const { return m_ready; }
 
@@ -64,28 +66,37 @@
     using Route = wire::Task<void> (CallerApi::*)(Call &);
     struct RouteEntry;
 
+    /// Authenticates the caller and calls the matching route.
     wire::Task<void> handle(wire::HttpExchange &exchange);
     wire::Task<void> chat(Call &call);
     wire::Task<void> complete(Call &call);
     wire::Task<void> models(Call &call);
     wire::Task<void> plain(Call &call);
-    wire::Task<void> comeBack(Call &call);
+    /// GET /v1/requests/<id>: continues or repeats the answer of an accepted request.
+    wire::Task<void> resumeRequest(Call &call);
     wire::Task<void> model(Call &call, bool chat);
+    /// Starts a request, or joins the one with the same idempotency key.
     wire::Task<void> run(Call &call, RequestSpec spec, bool stream, bool chat);
     wire::Task<void> answer(Call &call, RequestPtr request, bool stream, bool chat);
     wire::Task<void> refuseInvalid(Call &call, int status, std::string message);
+    /// Finds a request on this instance, at its home or at a possible holder of its replica; null
+    /// if it is not found.
     wire::Task<RequestPtr> locate(std::string id, std::string customer, std::uint64_t offset);
-    /// NotFound if the peer says so; anything else if it does not answer.
+    /// Returns NotFound if the peer does not have the request, and another error if the peer does
+    /// not answer.
     wire::Task<Result<RequestPtr>> askPeer(std::string peer, std::string id, std::string customer,
                                            std::uint64_t offset);
-    [[nodiscard]] std::vector<std::string> holders(const std::string &id,
-                                                   const std::string &home) const;
-    wire::Task<void> follow(RequestPtr mirror, std::shared_ptr<peer::ForwardCall> call);
+    /// Peers that may have the request: its home if known, then the likely holders of its replica.
+    [[nodiscard]] std::vector<std::string> candidateInstances(const std::string &id,
+                                                              const std::string &home) const;
+    wire::Task<void> fillMirror(RequestPtr mirror, std::shared_ptr<peer::ForwardCall> call);
+    /// Returns false if the deadline or the idempotency key of the call is invalid.
     bool fillSpec(const Call &call, const settings::ServiceSettings &service, RequestSpec &spec);
     std::string newRequestId();
 
-    CallerApiLinks m_links;
-    std::uint64_t m_state;
+    CallerApiDependencies m_deps;
+    /// State of the generator of request ids.
+    std::uint64_t m_randomState;
     bool m_draining = false;
     bool m_ready = false;
 };
--- a/include/snipestall/entry/command_sink.hpp
+++ b/include/snipestall/entry/command_sink.hpp
@@ -4,7 +4,8 @@
 
 namespace snipestall::entry {
 
-/// Carries out what the policy decides. Each call returns at once; work goes on in coroutines.
+/// Executes the commands of the policy. Each call returns immediately; longer work runs in
+/// coroutines.
 class CommandSink
 {
 public:
--- a/include/snipestall/entry/crash_ledger.hpp
+++ b/include/snipestall/entry/crash_ledger.hpp
@@ -13,25 +13,27 @@
 
 namespace snipestall::entry {
 
-/// Which requests were in flight on which backend servers when those died, as far as this instance
-/// and its peers have seen. A request is known by its fingerprint, so that a caller who sends the
-/// same one again, here or at another instance, does not take down a server each time.
+/// Records which requests were in flight on which backend servers when those crashed, as observed
+/// by this instance and its peers. A request is identified by its fingerprint, so that a caller who
+/// repeats the same request, here or at another instance, does not crash another server each time.
 class CrashLedger
 {
 public:
-    /// Of a customer's request, whatever its id.
+    /// Hash of the content of a customer's request, independent of the request id.
     static std::uint64_t fingerprint(std::string_view customer, std::string_view service,
                                      std::string_view body);
 
-    /// True if it was not known.
-    bool note(const peer::CrashReport &report, std::chrono::steady_clock::time_point now);
+    /// Adds a report; returns false if the same report is already known.
+    bool add(const peer::CrashReport &report, std::chrono::steady_clock::time_point now);
+    /// Names of the servers whose crash is attributed to the request.
     [[nodiscard]] std::set<std::string> servers(std::uint64_t fingerprint) const;
-    /// Time left in which a request that has just taken down a server is not begun anew; zero if
-    /// none.
+    /// Time for which further copies of a request that has just crashed a server are still held
+    /// back; zero if none.
     [[nodiscard]] std::chrono::milliseconds
-    trialLeft(std::uint64_t fingerprint, std::chrono::steady_clock::time_point now) const;
-    /// The newest reports, for heartbeats.
-    [[nodiscard]] std::vector<peer::CrashReport> recent() const;
+    remainingTrialTime(std::uint64_t fingerprint, std::chrono::steady_clock::time_point now) const;
+    /// The most recent reports, for heartbeats.
+    [[nodiscard]] std::vector<peer::CrashReport> recentReports() const;
+    /// Removes old reports.
     void expire(std::chrono::steady_clock::time_point now);
 
 private:
--- a/include/snipestall/entry/dispatcher.hpp
+++ b/include/snipestall/entry/dispatcher.hpp
@@ -30,11 +30,11 @@
 class CrashLedger;
 class PolicyLoop;
 class RequestStore;
-class TrialGate;
+class TrialCoordinator;
 struct Backend;
 
-/// What the dispatcher works with; all outlive it.
-struct DispatcherLinks
+/// Components that the dispatcher uses; all must outlive it.
+struct DispatcherDependencies
 {
     boost::asio::io_context *io = nullptr;
     RequestStore *store = nullptr;
@@ -45,47 +45,56 @@
     peer::ClaimKeeper *claims = nullptr;
     peer::RecordKeeper *records = nullptr;
     CrashLedger *crashes = nullptr;
-    TrialGate *trials = nullptr;
+    TrialCoordinator *trials = nullptr;
 };
 
+/// Totals since the process started.
 struct DispatchCounters
 {
+    /// Attempts on backend servers.
     std::uint64_t attempts = 0;
+    /// Attempts on peers.
     std::uint64_t forwards = 0;
+    /// Responses and stream events that were dropped because they belonged to another attempt.
     std::uint64_t wrongAttempt = 0;
+    /// Tokens that an engine had to compute again to continue a request.
     std::uint64_t recomputedTokens = 0;
 };
 
-/// Runs attempts: carries out what the policy decides and tells it what came of it.
+/// Runs the attempts of requests: executes the commands of the policy and reports the results back
+/// to it.
 class Dispatcher final : public CommandSink
 {
 public:
-    /// `name` and `incarnation` make attempt ids that no other process gives.
+    /// `name` and `incarnation` of this instance make its attempt ids unique among all processes.
     Dispatcher(std::string name, std::uint64_t incarnation);
     ~Dispatcher() override;
 
-    void connect(DispatcherLinks links) { m_links = links; }
+    void connect(DispatcherDependencies dependencies) { m_deps = dependencies; }
 
-    /// A new request: the policy decides what becomes of it. `accepted`: it was accepted before,
-    /// here or elsewhere, and no limit refuses it.
-    void arrive(const RequestPtr &request, bool accepted);
-    /// Nobody wants its answer any more.
+    /// Stores a new request and submits it to the policy. `accepted` means that this or another
+    /// instance accepted the request earlier, so that no limit may refuse it.
+    void handleArrival(const RequestPtr &request, bool accepted);
+    /// Ends a request whose answer is no longer needed.
     void cancel(const RequestPtr &request);
-    /// The request is recorded with its buddy; to be awaited before anything is promised.
+    /// Returns once the buddy holds the replica of the request and the request is not suspended.
+    /// Must be awaited before the acceptance is confirmed to the caller or an attempt is sent.
     wire::Task<void> accept(RequestPtr request);
-    /// Ends a request here; tells readers and the policy.
+    /// Ends a request with `answer`, cancels its attempts and notifies its readers and the policy.
     void finish(const RequestPtr &request, FinalAnswer answer);
 
-    /// Hand-over: start no further attempt, break off none.
+    /// Begins a handover: no further attempt is started; running attempts continue.
     void suspend(const RequestPtr &request);
-    /// Another instance has taken it over: it ends here, its callers are told to come back.
+    /// Ends a handover after another instance has taken over the request: its attempts here are
+    /// cancelled, and its callers are asked to reconnect.
     void release(const RequestPtr &request);
-    /// Nobody has taken it over: it goes on here.
+    /// Ends a handover in which no instance took over the request: it continues here.
     void resume(const RequestPtr &request);
-    /// It may have run under its key: its outcome is waited for, nothing is sent.
+    /// Waits for the stored outcome of a request that may already have run under its idempotency
+    /// key; nothing is sent unless the claim turns out to be unused.
     void awaitStoredOutcome(const RequestPtr &request);
 
-    /// Peers that forwards may go to.
+    /// Registers a peer to which requests may be forwarded.
     void addPeer(policy::PeerHandle handle, const std::string &name);
 
     void execute(const policy::Dispatch &command) override;
@@ -101,50 +110,60 @@
 private:
     struct Attempt;
 
-    /// Puts a request before the policy, for the first time or again.
+    /// Submits a request to the policy, for the first time or again.
     void submit(const RequestPtr &request, bool accepted);
     wire::Task<void> runOnServer(RequestPtr request, policy::AttemptHandle handle, Backend server,
                                  std::string kv);
     wire::Task<void> runOnPeer(RequestPtr request, policy::ForwardTo command);
-    /// Waits until no other copy of the request is in its first try, and whether it may be sent
-    /// then; false if it has been refused.
+    /// Waits until no other copy of the request is in its first attempt. Returns whether the
+    /// request may be sent then; false if it has ended or has been refused.
     wire::Task<bool> awaitTrial(RequestPtr request);
-    /// Refuses a new copy of a request that has just taken down a server, while that is tried
-    /// again.
+    /// Refuses a new copy of a request that has just crashed a server, while the first copy is
+    /// being retried. Returns whether the copy was refused.
     bool refuseDuringTrial(const RequestPtr &request);
-    /// Refuses a request that peers have seen take down two backend servers.
+    /// Refuses a request that has crashed two backend servers, as observed here or by peers.
+    /// Returns whether it was refused.
     bool refuseQuarantined(const RequestPtr &request);
+    /// Moves a stream from one server to another, with its KV cache if the source can export it.
     wire::Task<void> move(RequestPtr request, policy::MoveStream command, Backend from,
                           Backend target);
     wire::Task<bool> mayRun(Attempt &attempt);
+    /// Claims the idempotency key of the request; returns whether the attempt may be sent.
     wire::Task<bool> claim(Attempt &attempt);
+    /// Polls the claim of the request until it holds an outcome, is gone or the deadline has
+    /// passed.
     wire::Task<void> awaitOutcome(RequestPtr request);
+    /// Last check before the first byte is sent; marks the request as sent if it passes.
     static bool beginSending(Attempt &attempt);
     wire::Task<void> readModel(Attempt &attempt);
     wire::Task<void> readPlain(Attempt &attempt);
     wire::Task<void> readTokens(Attempt &attempt, wire::HttpStream &stream);
     wire::Task<void> readForward(Attempt &attempt, peer::ForwardCall &call);
-    wire::Task<void> attemptBroke(Attempt &attempt, Error error);
+    wire::Task<void> handleCallError(Attempt &attempt, Error error);
     wire::Task<void> replicate(RequestPtr request);
-    /// A claim that was granted and not used: a repeat may have the key.
-    void giveBackClaim(Request &request);
-    void storeUnknown(const Attempt &attempt);
-    void noteCrash(const Attempt &attempt);
-    /// What an owner tells of servers that died with a request.
-    void noteCrashes(const Request &request, const peer::v1::ForwardEvent &event);
-    bool takeToken(Attempt &attempt, const std::string &data);
+    /// Releases a claim that was granted but not used, so that a repeat of the request can claim
+    /// the key.
+    void releaseClaim(Request &request);
+    void storeUnknownOutcome(const Attempt &attempt);
+    void recordCrash(const Attempt &attempt);
+    /// Records the crashed servers that an owner reports with a request.
+    void recordCrashes(const Request &request, const peer::v1::ForwardEvent &event);
+    /// Handles one event of a token stream. Returns false if it belongs to another attempt, leaves
+    /// a gap or cannot be parsed.
+    bool handleTokenEvent(Attempt &attempt, const std::string &data);
     void answered(Attempt &attempt, int status, std::string contentType, std::string body);
     void declined(Attempt &attempt, std::chrono::milliseconds retryAfter);
+    /// Reports the result of an attempt to the policy; only the first call has an effect.
     void ended(Attempt &attempt, policy::AttemptResult result,
                std::chrono::milliseconds retryAfter = {});
     [[nodiscard]] std::string attemptId(policy::AttemptHandle handle) const;
 
     std::string m_name;
     std::uint64_t m_incarnation;
-    DispatcherLinks m_links;
+    DispatcherDependencies m_deps;
     DispatchCounters m_counters;
     std::map<policy::PeerHandle, std::string> m_peers;
-    /// Which server each attempt under way runs on, for moves.
+    /// The server of each running attempt, for moves.
     std::map<policy::AttemptHandle, policy::ServerHandle> m_onServer;
 };
 
--- a/include/snipestall/entry/final_answer.hpp
+++ b/include/snipestall/entry/final_answer.hpp
@@ -6,32 +6,34 @@
 
 namespace snipestall::entry {
 
-/// What became of a request, as the Snipestall-Outcome header says it.
+/// Outcome of a request, as reported in the Snipestall-Outcome header.
 enum class Outcome {
     Completed,
-    /// No byte of any attempt has left.
+    /// No byte of any attempt was sent.
     NotRun,
-    /// It may have run; it is not sent again.
+    /// The request may have run and is not sent again.
     Unknown,
-    /// It was run, and failed or was not finished in time.
+    /// The request was run, and failed or did not finish in time.
     Failed,
 };
 
 std::string_view toString(Outcome outcome);
+/// Returns Unknown for a text that names no outcome.
 Outcome outcomeFrom(std::string_view text);
 
-/// The end of a request. A model's answer is its pieces; `body` then stays empty.
+/// The final result of a request. The output of a model request is in its pieces, and `body` is
+/// empty.
 struct FinalAnswer
 {
     Outcome outcome = Outcome::Failed;
     int status = 500;
     std::string contentType;
     std::string body;
-    /// Short fixed word for programs, when the outcome is not Completed.
+    /// Machine-readable error code if the outcome is not Completed.
     std::string code;
-    /// For people: what happened.
+    /// Human-readable description of the error.
     std::string reason;
-    /// When to come back; zero when that is of no use.
+    /// Time after which the caller should retry; zero if a retry is not useful.
     std::chrono::milliseconds retryAfter {};
 };
 
--- a/include/snipestall/entry/forward_relay.hpp
+++ b/include/snipestall/entry/forward_relay.hpp
@@ -12,8 +12,10 @@
 
 namespace snipestall::entry {
 
-/// Sends what becomes of a request to the peer that asked: the home that forwarded it, or an
-/// instance that a caller came back to. Ends with the request, or when `*stop` is set.
+/// Streams the progress and the result of a request to a peer: to the home that forwarded the
+/// request, or to an instance to which a caller reconnected. Returns when the request ends or
+/// `*stop` is set; whoever sets it must also notify `request->changed()`. With `onlyReleased`,
+/// sends only output that callers may see.
 wire::Task<void> relayToPeer(RequestPtr request, std::string attempt,
                              std::shared_ptr<peer::ForwardSink> sink, std::shared_ptr<bool> stop,
                              bool onlyReleased);
--- a/include/snipestall/entry/node.hpp
+++ b/include/snipestall/entry/node.hpp
@@ -33,7 +33,7 @@
 class PolicyLoop;
 class RequestStore;
 
-/// One entry instance, all roles in it: the library's face to the daemon.
+/// One entry instance with all its roles. This class is the library's interface for the daemon.
 ///
 ///     auto node = Node::create(io, local);
 ///     (*node)->start();
@@ -41,18 +41,19 @@
 class Node
 {
 public:
-    /// Opens the callers' and the peers' listeners; Unavailable if one can't be had.
+    /// Opens the listeners for callers and peers; returns Unavailable if one cannot be opened.
     static Result<std::unique_ptr<Node>> create(boost::asio::io_context &io, LocalSettings local);
     ~Node();
 
     void start();
-    /// Graceful stop: no new requests, those in progress go on to their end. With a notice, what
-    /// has not ended shortly before it is over is handed to other instances. `done` runs once;
-    /// a second call only shortens the notice.
+    /// Stops gracefully: new requests are refused, requests in progress run to their end. With a
+    /// notice, requests that have not ended shortly before the notice expires are handed over to
+    /// other instances. `done` runs once, when the drain is complete. A further call replaces the
+    /// notice and `done` if it gives them.
     void drain(std::optional<std::chrono::milliseconds> notice, std::function<void()> done);
     [[nodiscard]] bool draining() const;
 
-    // For the operators' side and for metrics.
+    // Accessors for the operators' API and for metrics.
     [[nodiscard]] const LocalSettings &local() const;
     [[nodiscard]] std::uint64_t incarnation() const;
     [[nodiscard]] const Clock &clock() const;
--- a/include/snipestall/entry/policy_loop.hpp
+++ b/include/snipestall/entry/policy_loop.hpp
@@ -18,8 +18,8 @@
 
 class CommandSink;
 
-/// Drives the policy: gathers the events of one turn of the I/O loop, steps the decision maker
-/// once, carries out its commands, and wakes it when it asks for that.
+/// Drives the policy: collects the events of one iteration of the I/O loop, steps the decision
+/// maker once, executes its commands, and wakes it at the time that it requests.
 class PolicyLoop
 {
 public:
@@ -27,6 +27,7 @@
                CommandSink &sink);
     ~PolicyLoop();
 
+    /// Queues an event for the next step.
     void post(policy::Event event);
 
     [[nodiscard]] const policy::DecisionMaker &maker() const { return *m_maker; }
@@ -44,6 +45,7 @@
     std::vector<policy::Event> m_events;
     boost::asio::steady_timer m_timer;
     bool m_scheduled = false;
+    /// False once the loop is destroyed; checked by pending callbacks.
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
--- a/include/snipestall/entry/request.hpp
+++ b/include/snipestall/entry/request.hpp
@@ -20,7 +20,7 @@
 
 class RequestObserver;
 
-/// What is asked, fixed at arrival.
+/// The immutable part of a request, set on arrival.
 struct RequestSpec
 {
     std::string id;
@@ -29,7 +29,7 @@
     settings::ServiceKind kind = settings::ServiceKind::Model;
     std::string method;
     std::string target;
-    /// The prompt of a model request, the body of a plain one.
+    /// The prompt of a model request or the body of a plain one.
     std::string body;
     std::string contentType;
     std::string model;
@@ -42,17 +42,18 @@
     std::uint64_t settingsVersion = 0;
 };
 
-/// One request on this instance: as its home, or as the owner that runs it for another home.
+/// State of one request on this instance, which is either the home of the request or the owner that
+/// runs it for another home.
 ///
-/// Output is a row of pieces, one a token, each at its offset. Pieces can only be appended at the
-/// next offset: one that was there before is dropped, so an answer has no gap and no repeat
-/// whatever attempt it comes from.
+/// The output is a sequence of pieces, one per token, each with its offset. A piece can only be
+/// appended at the next offset, and a piece for an earlier offset is dropped, so that an answer has
+/// no gaps and no repeats when several attempts contribute to it.
 class Request final : public peer::RecordSource
 {
 public:
     static std::shared_ptr<Request> create(const boost::asio::any_io_executor &executor,
                                            RequestSpec spec, policy::RequestHandle handle);
-    /// From a peer's record; the time left counts from now.
+    /// Creates a request from a peer's record; the remaining time in the record counts from now.
     static std::shared_ptr<Request> fromRecord(const boost::asio::any_io_executor &executor,
                                                const peer::v1::RequestRecord &record,
                                                policy::RequestHandle handle);
@@ -60,52 +61,59 @@
     [[nodiscard]] const RequestSpec &spec() const { return m_spec; }
     [[nodiscard]] policy::RequestHandle handle() const { return m_handle; }
 
-    /// False if the piece leaves a gap; a repeated one is dropped.
+    /// Returns false if the piece would leave a gap or the request has finished. A piece for an
+    /// offset that is already filled is dropped and returns true.
     bool append(std::uint64_t offset, std::string piece);
-    /// Only the first final answer counts.
+    /// Sets the final answer; returns false if the request already has one, which is kept.
     bool finish(FinalAnswer answer);
     [[nodiscard]] std::uint64_t firstOffset() const { return m_firstOffset; }
     [[nodiscard]] std::uint64_t nextOffset() const { return m_firstOffset + m_pieces.size(); }
     [[nodiscard]] const std::string &piece(std::uint64_t offset) const;
-    [[nodiscard]] const std::optional<FinalAnswer> &finalAnswer() const { return m_final; }
-    [[nodiscard]] bool finished() const { return m_final.has_value(); }
-    /// Wakes at each piece, at the end and at a release.
+    [[nodiscard]] const std::optional<FinalAnswer> &finalAnswer() const { return m_finalAnswer; }
+    [[nodiscard]] bool finished() const { return m_finalAnswer.has_value(); }
+    /// Signalled when a piece arrives, on release and when the request ends.
     [[nodiscard]] wire::Signal &changed() { return m_changed; }
 
-    /// What callers may see: everything that the buddy has too.
+    /// Progress up to which callers may see the output: what the buddy also holds.
     [[nodiscard]] std::uint64_t released() const { return m_released; }
     void release(std::uint64_t progress);
 
-    /// A byte of some attempt may have left; never taken back.
+    /// Records that a byte of some attempt may have been sent; this is never reset.
     void markSent();
-    /// Of an attempt that this instance made, not the home that it runs for.
+    /// Whether an attempt of this instance may have sent a byte; ignores attempts of the home for
+    /// which the request runs here.
     [[nodiscard]] bool sentHere() const { return m_sentHere; }
-    [[nodiscard]] bool maybeSent() const { return m_maybeSent || uncertain > 0; }
-    /// Forwards under way of which it is not known whether the owner has sent a byte.
-    int uncertain = 0;
-    /// Backend servers that died with it.
+    /// Whether an attempt of any instance may have sent a byte.
+    [[nodiscard]] bool maybeSent() const { return m_maybeSent || unconfirmedForwards > 0; }
+    /// Number of running forwards for which it is not known whether the owner has sent a byte.
+    int unconfirmedForwards = 0;
+    /// Backend servers that crashed while they ran the request.
     std::set<std::string> &crashedServers() { return m_crashedServers; }
 
-    /// From now on tells what becomes of it.
+    /// Notifies the observer of all further progress.
     void observe(std::shared_ptr<RequestObserver> observer);
 
-    /// How to break off the attempt under way.
-    std::map<std::uint64_t, std::function<void()>> &cancels() { return m_cancels; }
+    /// Functions that cancel the running attempts, by attempt handle.
+    std::map<std::uint64_t, std::function<void()>> &cancelCallbacks() { return m_cancelCallbacks; }
     std::uint32_t attempts = 0;
-    /// The attempt that its key's claim was granted to, while the claim counts.
+    /// Id of the attempt to which the claim of the idempotency key was granted; empty if there is
+    /// no valid claim.
     std::string claimedBy;
-    /// It runs here for another home.
+    /// The request runs here for another home.
     bool forwarded = false;
-    /// Another instance has taken it over: callers are told to come back.
+    /// Another instance has taken over the request; callers are asked to reconnect.
     bool moved = false;
-    /// It is being handed over: no attempt of it may start here.
+    /// The request is being handed over; no attempt may start here.
     bool suspended = false;
-    /// Callers that read it now.
+    /// Number of callers that are reading the answer.
     int readers = 0;
     std::chrono::steady_clock::time_point finishedAt;
 
     [[nodiscard]] const std::string &requestId() const override { return m_spec.id; }
+    /// The next offset, plus one if the request has finished.
     [[nodiscard]] std::uint64_t progress() const override;
+    /// The record for the buddy or another instance: with `whole`, the specification and all
+    /// output, otherwise only the output from offset `from` on.
     [[nodiscard]] peer::v1::RequestRecord record(bool whole, std::uint64_t from) const override;
 
     Request(const boost::asio::any_io_executor &executor, RequestSpec spec,
@@ -113,21 +121,22 @@
     ~Request() override;
 
 private:
-    void noteProgress();
+    void reportProgress();
 
     RequestSpec m_spec;
     policy::RequestHandle m_handle;
     std::uint64_t m_firstOffset = 0;
     std::vector<std::string> m_pieces;
-    std::optional<FinalAnswer> m_final;
+    std::optional<FinalAnswer> m_finalAnswer;
     std::uint64_t m_released = 0;
     bool m_maybeSent = false;
     bool m_sentHere = false;
     std::set<std::string> m_crashedServers;
-    std::map<std::uint64_t, std::function<void()>> m_cancels;
+    std::map<std::uint64_t, std::function<void()>> m_cancelCallbacks;
     wire::Signal m_changed;
     std::shared_ptr<RequestObserver> m_observer;
-    /// Arrival or last piece; nothing until the first piece of a request that began elsewhere.
+    /// Time of arrival or of the last piece. Empty until the first piece for a request that started
+    /// on another instance.
     std::optional<std::chrono::steady_clock::time_point> m_lastProgress;
 };
 
--- a/include/snipestall/entry/request_observer.hpp
+++ b/include/snipestall/entry/request_observer.hpp
@@ -7,16 +7,18 @@
 struct FinalAnswer;
 struct RequestSpec;
 
-/// Told what becomes of the requests that this instance answers for, as for metrics. Called on the
-/// loop's own thread, once a request and once a token.
+/// Receives the progress of the requests whose home is this instance, for example for metrics.
+/// Called on the thread of the I/O loop, up to once per token.
 class RequestObserver
 {
 public:
     virtual ~RequestObserver() = default;
 
     virtual void arrived(const RequestSpec &spec) = 0;
-    /// The first piece of an answer; not told of a request that another instance began.
+    /// Called for the first piece of an answer; not called for a request that started on another
+    /// instance.
     virtual void began(const RequestSpec &spec, std::chrono::nanoseconds sinceArrival) = 0;
+    /// Called for each further piece of an answer.
     virtual void wentOn(const RequestSpec &spec, std::chrono::nanoseconds sinceLastPiece) = 0;
     virtual void ended(const RequestSpec &spec, const FinalAnswer &answer) = 0;
 };
--- a/src/snipestall/entry/answer_writer.cpp
+++ b/src/snipestall/entry/answer_writer.cpp
@@ -25,11 +25,11 @@
 {
     switch (outcome) {
     case Outcome::NotRun:
-        return "it was not run; send it again";
+        return "the request was not run; sending it again is safe";
     case Outcome::Unknown:
-        return "it may have run; ask the service before you send it again";
+        return "the request may have run; check with the service before you send it again";
     case Outcome::Failed:
-        return "it was run and failed; send it again if it may run twice";
+        return "the request was run and failed; send it again only if it may run twice";
     case Outcome::Completed:
         break;
     }
@@ -101,14 +101,14 @@
     return response;
 }
 
-/// The caller may see a final answer only once the buddy has it.
+/// Returns whether the caller may see the final answer, which requires that the buddy has it.
 bool endReleased(const Request &request)
 {
     return request.finished() && request.released() >= request.progress();
 }
 
-/// The end of a stream that has begun: its status line can't be taken back, so the outcome
-/// travels as an event of its own.
+/// Builds the last events of a stream. The status line has already been sent, so a failure is
+/// reported as a separate event.
 std::string lastEvents(const Request &request)
 {
     const FinalAnswer &answer = *request.finalAnswer();
@@ -123,16 +123,16 @@
     return "event: error\ndata: " + json::serialize(envelope) + "\n\n";
 }
 
-std::string movedEvent(const Request &request, std::uint64_t next)
+std::string comeBackEvent(const Request &request, std::uint64_t next)
 {
-    json::object place;
-    place["request"] = request.spec().id;
-    place["offset"] = next;
-    place["path"] = "/v1/requests/" + request.spec().id;
-    return "event: come-back\ndata: " + json::serialize(place) + "\n\n";
+    json::object location;
+    location["request"] = request.spec().id;
+    location["offset"] = next;
+    location["path"] = "/v1/requests/" + request.spec().id;
+    return "event: come-back\ndata: " + json::serialize(location) + "\n\n";
 }
 
-wire::Task<void> writeStream(wire::HttpExchange &exchange, RequestPtr request, AnswerForm form)
+wire::Task<void> writeStream(wire::HttpExchange &exchange, RequestPtr request, AnswerFormat form)
 {
     wire::HttpResponse head;
     head.fields.set("Content-Type", "text/event-stream");
@@ -152,7 +152,7 @@
         if (endReleased(*request))
             break;
         if (request->moved) {
-            co_await exchange.write(movedEvent(*request, next));
+            co_await exchange.write(comeBackEvent(*request, next));
             exchange.abort();
             co_return;
         }
@@ -182,7 +182,7 @@
     return response;
 }
 
-wire::Task<void> writeAnswer(wire::HttpExchange &exchange, RequestPtr request, AnswerForm form)
+wire::Task<void> writeAnswer(wire::HttpExchange &exchange, RequestPtr request, AnswerFormat form)
 {
     const bool model = request->spec().kind == settings::ServiceKind::Model;
     const bool stream = form.stream && model;
@@ -203,7 +203,8 @@
         co_return;
     }
     if (request->moved && !request->finished()) {
-        auto response = errorResponse(307, "", "moved", "the request goes on elsewhere; come back");
+        auto response = errorResponse(
+            307, "", "moved", "the request continues on another instance; reconnect to read it");
         response.fields.set("Location", "/v1/requests/" + request->spec().id);
         response.fields.set("Snipestall-Request-Id", request->spec().id);
         co_await exchange.respond(std::move(response));
--- a/src/snipestall/entry/answer_writer.hpp
+++ b/src/snipestall/entry/answer_writer.hpp
@@ -14,20 +14,23 @@
 
 namespace snipestall::entry {
 
-/// How a caller wants to read an answer.
-struct AnswerForm
+/// How a caller wants to receive an answer.
+struct AnswerFormat
 {
+    /// Chat completion format instead of text completion format.
     bool chat = true;
     bool stream = false;
-    /// First offset to send; what lies before is with the caller already.
+    /// First offset to send; the caller already has everything before it.
     std::uint64_t from = 0;
 };
 
-/// Writes a request's answer to its caller as it comes, each offset once; refusals and failures
-/// in the one JSON envelope. Returns when all is written; throws if the caller hangs up.
-wire::Task<void> writeAnswer(wire::HttpExchange &exchange, RequestPtr request, AnswerForm form);
+/// Writes the answer of a request to its caller as it arrives, each offset once. Refusals and
+/// failures are written as the JSON error object. Returns when everything is written; throws if the
+/// caller closes the connection.
+wire::Task<void> writeAnswer(wire::HttpExchange &exchange, RequestPtr request, AnswerFormat form);
 
-/// The one JSON envelope for errors. `retryAfter` zero: no such header.
+/// Builds the JSON error object that all errors use. No Retry-After header is set if `retryAfter`
+/// is zero.
 wire::HttpResponse errorResponse(int status, std::string_view outcome, std::string_view type,
                                  std::string_view message,
                                  std::chrono::milliseconds retryAfter = {});
--- a/src/snipestall/entry/attempt.hpp
+++ b/src/snipestall/entry/attempt.hpp
@@ -8,18 +8,20 @@
 
 namespace snipestall::entry {
 
-/// One try to run a request, for as long as its coroutine runs.
+/// One attempt to run a request. It lives as long as its coroutine.
 struct Dispatcher::Attempt
 {
     RequestPtr request;
     policy::AttemptHandle handle;
     std::string id;
-    /// Empty name: it runs on a peer.
+    /// The server that runs the attempt; its name is empty if the attempt runs on a peer.
     Backend server;
+    /// Reference to an exported KV cache to continue from; may be empty.
     std::string kv;
-    /// Cancelled by the policy or moved elsewhere: what still comes of it is dropped, and the
-    /// policy is not told of its end.
+    /// The attempt was cancelled by the policy or moved elsewhere: further output is dropped, and
+    /// its end is not reported to the policy.
     bool cancelled = false;
+    /// The end of the attempt has been handled.
     bool over = false;
 };
 
--- a/src/snipestall/entry/attempt_claim.cpp
+++ b/src/snipestall/entry/attempt_claim.cpp
@@ -19,10 +19,10 @@
 
 namespace {
 
-/// A platform that has not settled a claim by then is down or slow for longer; the caller had
-/// better hear so and come back than wait out its deadline.
-constexpr milliseconds ClaimPatience { 2000 };
-constexpr milliseconds OutcomePoll { 200 };
+/// A platform that has not decided a claim within this time is likely to stay down or slow for
+/// longer. The caller gets an error and can retry instead of waiting until its deadline.
+constexpr milliseconds ClaimTimeout { 2000 };
+constexpr milliseconds OutcomePollInterval { 200 };
 constexpr milliseconds DefaultRetryAfter { 1000 };
 constexpr int StatusConflict = 409;
 constexpr int StatusUnavailable = 503;
@@ -34,7 +34,7 @@
 {
     const RequestPtr request = attempt.request;
     const RequestSpec &spec = request->spec();
-    // An earlier attempt got the claim and left no byte: the permission is still unused.
+    // An earlier attempt was granted the claim and sent no byte, so the claim is still unused.
     if (!request->claimedBy.empty())
         co_return true;
     peer::ClaimRequest claim;
@@ -42,12 +42,12 @@
     claim.request = spec.id;
     claim.attempt = attempt.id;
     claim.bodyHash = settings::sha256Hex(spec.body);
-    claim.deadline = std::min(spec.deadline, steady_clock::now() + ClaimPatience);
-    const peer::ClaimOutcome outcome = co_await m_links.claims->claim(claim);
+    claim.deadline = std::min(spec.deadline, steady_clock::now() + ClaimTimeout);
+    const peer::ClaimOutcome outcome = co_await m_deps.claims->claim(claim);
     if (outcome.verdict == peer::ClaimVerdict::Granted)
         request->claimedBy = attempt.id;
     if (request->finished() || request->moved || attempt.cancelled) {
-        giveBackClaim(*request);
+        releaseClaim(*request);
         co_return false;
     }
     if (outcome.verdict == peer::ClaimVerdict::Granted)
@@ -57,8 +57,9 @@
         answer.outcome = Outcome::NotRun;
         answer.status = StatusUnavailable;
         answer.code = "platform-unavailable";
-        answer.reason = "the platform's table does not answer: a request that must not run twice "
-                        "can't be claimed";
+        answer.reason =
+            "the platform's table does not respond, so a request that must not run twice "
+            "cannot be claimed";
         answer.retryAfter = DefaultRetryAfter;
         finish(request, std::move(answer));
         co_return false;
@@ -68,14 +69,15 @@
         answer.outcome = Outcome::NotRun;
         answer.status = StatusConflict;
         answer.code = "key-reused";
-        answer.reason = "this Idempotency-Key was used with another body; choose a new key";
+        answer.reason =
+            "this Idempotency-Key was already used with a different body; use a new key";
         finish(request, std::move(answer));
         co_return false;
     }
-    // The slot is given back while the other attempt's outcome is waited for.
-    m_links.policy->post(policy::RequestCancelled { request->handle() });
+    // The slot is released while this request waits for the outcome of the other attempt.
+    m_deps.policy->post(policy::RequestCancelled { request->handle() });
     attempt.over = true;
-    request->cancels().erase(attempt.handle.value);
+    request->cancelCallbacks().erase(attempt.handle.value);
     m_onServer.erase(attempt.handle);
     co_await awaitOutcome(request);
     co_return false;
@@ -86,8 +88,8 @@
     const RequestSpec &spec = request->spec();
     while (!request->finished() && steady_clock::now() < spec.deadline) {
         const peer::ClaimKey key { spec.customer, spec.service, spec.idempotencyKey };
-        const auto found = co_await m_links.claims->lookup(key);
-        // The holder gave the key back, or its claim never took effect: this request's turn.
+        const auto found = co_await m_deps.claims->lookup(key);
+        // The holder has released the key, or its claim never took effect: this request may try.
         if (found && !found->has_value())
             co_return submit(request, true);
         if (found && (*found)->outcome) {
@@ -97,49 +99,51 @@
             answer.status = stored.status;
             answer.contentType = stored.contentType;
             answer.body = stored.body;
-            // What is not kept can't be given again, and an empty body would pass for the answer.
+            // A body that was not kept cannot be repeated, and an empty one would look like the
+            // answer.
             if (stored.bodyDropped) {
                 answer.outcome = Outcome::Unknown;
                 answer.status = StatusGatewayTimeout;
-                answer.reason = "it ran once, but its answer was too long to be kept";
+                answer.reason = "the request ran once, but its answer was too long to be stored";
             }
             if (answer.outcome != Outcome::Completed) {
                 answer.code = "outcome-unknown";
                 if (answer.reason.empty())
-                    answer.reason = "an earlier attempt with this key ended so";
+                    answer.reason = "an earlier attempt with this key ended with this outcome";
             }
             finish(request, std::move(answer));
             co_return;
         }
-        co_await wire::sleepFor(OutcomePoll);
+        co_await wire::sleepFor(OutcomePollInterval);
     }
-    finish(request, outcomeUnknown("another attempt holds this key and its outcome is not known"));
+    finish(request, outcomeUnknown("another attempt holds this key, and its outcome is not known"));
 }
 
 void Dispatcher::awaitStoredOutcome(const RequestPtr &request)
 {
-    boost::asio::co_spawn(*m_links.io, awaitOutcome(request), boost::asio::detached);
+    boost::asio::co_spawn(*m_deps.io, awaitOutcome(request), boost::asio::detached);
 }
 
-void Dispatcher::giveBackClaim(Request &request)
+void Dispatcher::releaseClaim(Request &request)
 {
     if (request.maybeSent() || request.claimedBy.empty())
         return;
     const RequestSpec &spec = request.spec();
     const std::string attempt = std::exchange(request.claimedBy, {});
-    m_links.claims->giveBack({ spec.customer, spec.service, spec.idempotencyKey }, attempt);
+    m_deps.claims->giveBack({ spec.customer, spec.service, spec.idempotencyKey }, attempt);
 }
 
-/// A claimed request whose answer was cut: its repeats are told at once that nobody knows.
-void Dispatcher::storeUnknown(const Attempt &attempt)
+/// Stores the outcome "unknown" for a claimed request whose answer was cut off, so that repeats get
+/// it immediately.
+void Dispatcher::storeUnknownOutcome(const Attempt &attempt)
 {
     const RequestSpec &spec = attempt.request->spec();
     if (attempt.request->claimedBy.empty())
         return;
-    const FinalAnswer answer = outcomeUnknown("the answer of the backend server was cut");
-    m_links.claims->storeOutcome({ spec.customer, spec.service, spec.idempotencyKey },
-                                 attempt.request->claimedBy,
-                                 { answer.status, "", "", std::string(toString(answer.outcome)) });
+    const FinalAnswer answer = outcomeUnknown("the answer of the backend server was cut off");
+    m_deps.claims->storeOutcome({ spec.customer, spec.service, spec.idempotencyKey },
+                                attempt.request->claimedBy,
+                                { answer.status, "", "", std::string(toString(answer.outcome)) });
 }
 
 } // namespace snipestall::entry
--- a/src/snipestall/entry/attempt_on_peer.cpp
+++ b/src/snipestall/entry/attempt_on_peer.cpp
@@ -21,8 +21,9 @@
 
 namespace {
 
-/// The owner's own deadline comes first; this only frees a call to an owner that froze.
-constexpr milliseconds GraceAfterDeadline { 500 };
+/// Margin after the deadline of the request. The owner enforces the deadline itself; the margin
+/// only ends a call to an owner that does not respond.
+constexpr milliseconds DeadlineMargin { 500 };
 
 bool isFinal(const std::string &code)
 {
@@ -52,15 +53,16 @@
     ++m_counters.forwards;
     logEvent(events::AttemptStarted,
              { { "request", request->spec().id }, { "attempt", attempt.id }, { "on", peer } });
-    request->cancels()[handle.value] = [&attempt] { attempt.cancelled = true; };
+    request->cancelCallbacks()[handle.value] = [&attempt] { attempt.cancelled = true; };
     co_await accept(request);
-    const bool begins = co_await awaitTrial(request);
-    peer::PeerClient *client = m_links.network->client(peer);
-    if (!begins || attempt.cancelled || request->finished() || request->moved || client == nullptr)
+    const bool trialPassed = co_await awaitTrial(request);
+    peer::PeerClient *client = m_deps.network->client(peer);
+    if (!trialPassed || attempt.cancelled || request->finished() || request->moved
+        || client == nullptr)
         co_return ended(attempt, policy::AttemptResult::NotSent);
-    // See mayRun: nobody sends a non-idempotent request a second time.
+    // As in mayRun, no instance sends a non-idempotent request a second time.
     if (!request->spec().idempotent && request->maybeSent()) {
-        co_return finish(request, outcomeUnknown("an earlier attempt may have run"));
+        co_return finish(request, outcomeUnknown("an earlier attempt of the request may have run"));
     }
     peer::v1::ForwardRequest call;
     *call.mutable_record() = request->record(true, request->nextOffset());
@@ -70,35 +72,37 @@
     call.set_sender(m_name);
     const auto left = std::chrono::duration_cast<milliseconds>(request->spec().deadline
                                                                - std::chrono::steady_clock::now());
-    ++request->uncertain;
-    const auto stream = client->forward(call, std::max(left, milliseconds(0)) + GraceAfterDeadline);
-    request->cancels()[handle.value] = [&attempt, raw = stream.get()] {
+    ++request->unconfirmedForwards;
+    const auto stream = client->forward(call, std::max(left, milliseconds(0)) + DeadlineMargin);
+    request->cancelCallbacks()[handle.value] = [&attempt, raw = stream.get()] {
         attempt.cancelled = true;
         raw->cancel();
     };
     co_await readForward(attempt, *stream);
-    // A peer that broke off is given no more work until it is heard again: a second at most if it
-    // lives. Without this a dead owner is sent each retry until its silence is noticed.
-    const bool broke = !attempt.over && !attempt.cancelled && !request->finished();
-    if (broke)
-        m_links.policy->post(policy::PeerGone { command.peer });
-    // Whatever has not been said to be not run may have run.
-    if (request->uncertain > 0) {
-        --request->uncertain;
+    // A peer that broke off the call gets no more work until its next heartbeat, which takes at
+    // most a second if it is alive. Otherwise a lost owner would be sent every retry until its
+    // missing heartbeats are noticed.
+    const bool interrupted = !attempt.over && !attempt.cancelled && !request->finished();
+    if (interrupted)
+        m_deps.policy->post(policy::PeerGone { command.peer });
+    // Unless the owner has reported that the request was not run, it may have run.
+    if (request->unconfirmedForwards > 0) {
+        --request->unconfirmedForwards;
         request->markSent();
     }
     ended(attempt, policy::AttemptResult::Cut);
 }
 
-// Failure: an owner loses two servers to a request and says so, but its report of them comes after
-// its answer; the home, which knows of one death at most, begins the request on a third server.
-void Dispatcher::noteCrashes(const Request &request, const ForwardEvent &event)
+// The crashes are recorded from the answer itself. An owner that lost two servers to a request also
+// reports them in its heartbeats, but these may arrive after its answer; the home would know of at
+// most one crash and start the request on a third server.
+void Dispatcher::recordCrashes(const Request &request, const ForwardEvent &event)
 {
     const RequestSpec &spec = request.spec();
     const std::uint64_t fingerprint =
         CrashLedger::fingerprint(spec.customer, spec.service, spec.body);
     for (const std::string &server : event.crashed_servers())
-        m_links.crashes->note({ fingerprint, server }, std::chrono::steady_clock::now());
+        m_deps.crashes->add({ fingerprint, server }, std::chrono::steady_clock::now());
 }
 
 wire::Task<void> Dispatcher::readForward(Attempt &attempt, peer::ForwardCall &call)
@@ -116,7 +120,7 @@
             co_return;
         }
         FinalAnswer answer = answerOf(event);
-        noteCrashes(*request, event);
+        recordCrashes(*request, event);
         switch (event.kind()) {
         case ForwardEvent::SENDING:
             request->markSent();
@@ -124,7 +128,7 @@
         case ForwardEvent::CHUNK:
             if (!request->append(event.offset(), event.data()))
                 co_return;
-            m_links.policy->post(policy::TokensProduced { request->handle(), attempt.handle, 1 });
+            m_deps.policy->post(policy::TokensProduced { request->handle(), attempt.handle, 1 });
             break;
         case ForwardEvent::END:
             answer.outcome = Outcome::Completed;
@@ -133,9 +137,9 @@
             request->finish(std::move(answer));
             co_return;
         case ForwardEvent::NOT_RUN:
-            --request->uncertain;
-            // The owner can't claim the key, or the key is taken: no other owner would do better,
-            // and waiting for one would keep the caller until its deadline.
+            --request->unconfirmedForwards;
+            // The owner cannot claim the key, or the key is in use: any other owner would get the
+            // same result, and trying others would delay the caller until its deadline.
             if (isFinal(event.code())) {
                 answer.outcome = Outcome::NotRun;
                 answer.retryAfter = milliseconds(event.retry_after_ms());
--- a/src/snipestall/entry/attempt_on_server.cpp
+++ b/src/snipestall/entry/attempt_on_server.cpp
@@ -29,9 +29,9 @@
 
 namespace {
 
-/// An engine that is silent for this long in mid-stream is taken for lost; the slowest token of a
-/// healthy one takes well under a second.
-constexpr milliseconds TokenSilence { 5000 };
+/// An engine that sends nothing for this long during a stream counts as lost; the slowest token of
+/// a healthy engine takes well under a second.
+constexpr milliseconds TokenTimeout { 5000 };
 constexpr milliseconds ExportTimeout { 3000 };
 constexpr milliseconds DefaultRetryAfter { 1000 };
 constexpr int StatusUnavailable = 503;
@@ -108,9 +108,9 @@
              { { "request", request->spec().id },
                { "attempt", attempt.id },
                { "on", attempt.server.listed.name } });
-    request->cancels()[handle.value] = [&attempt] { attempt.cancelled = true; };
-    const bool may = co_await mayRun(attempt);
-    if (may) {
+    request->cancelCallbacks()[handle.value] = [&attempt] { attempt.cancelled = true; };
+    const bool allowed = co_await mayRun(attempt);
+    if (allowed) {
         if (request->spec().kind == settings::ServiceKind::Model)
             co_await readModel(attempt);
         else
@@ -119,22 +119,23 @@
     ended(attempt, policy::AttemptResult::NotSent);
 }
 
-/// Whether this attempt may be sent at all. False: it has been ended or finished already.
+/// Returns whether this attempt may be sent. If false, the attempt has been cancelled or ended, or
+/// the request has finished.
 wire::Task<bool> Dispatcher::mayRun(Attempt &attempt)
 {
     const RequestPtr request = attempt.request;
     co_await accept(request);
     if (attempt.cancelled || request->finished() || request->moved)
         co_return false;
-    const bool begins = co_await awaitTrial(request);
-    if (!begins || attempt.cancelled)
+    const bool trialPassed = co_await awaitTrial(request);
+    if (!trialPassed || attempt.cancelled)
         co_return false;
     if (request->spec().idempotent)
         co_return true;
-    // A non-idempotent request goes out once. Whatever made the policy try again, a byte that may
-    // have left settles it: what became of it is unknown, and nobody sends it a second time.
+    // A non-idempotent request is sent only once. If an earlier attempt may have sent a byte, the
+    // outcome is unknown and the request is not sent again, whatever made the policy retry it.
     if (request->maybeSent()) {
-        finish(request, outcomeUnknown("an earlier attempt may have run"));
+        finish(request, outcomeUnknown("an earlier attempt of the request may have run"));
         co_return false;
     }
     if (!request->spec().idempotencyKey.empty())
@@ -142,9 +143,10 @@
     co_return true;
 }
 
-// The last look before a byte leaves. A process that was frozen between the decision and the send
-// wakes past the deadline, when its caller has been told that nothing ran; a request handed over
-// in between is another instance's to send. From here on `not-run` is out of the question.
+// This check runs immediately before the first byte is sent. A process that was frozen between the
+// decision and the send may resume after the deadline, when the caller has already been told that
+// nothing ran. A request that was handed over in between may only be sent by the other instance.
+// Once this returns true, the request can no longer be answered with `not-run`.
 bool Dispatcher::beginSending(Attempt &attempt)
 {
     Request &request = *attempt.request;
@@ -159,13 +161,13 @@
 {
     const RequestPtr request = attempt.request;
     wire::HttpCallOptions options;
-    options.idleTimeout = std::min(TokenSilence, timeLeft(*request));
+    options.idleTimeout = std::min(TokenTimeout, timeLeft(*request));
     options.freshConnection = !request->spec().idempotent;
     options.beforeSend = [&attempt] { return beginSending(attempt); };
     wire::HttpRequest call = engineRequest(*request, attempt.id, attempt.kv);
-    auto stream = co_await m_links.http->open(attempt.server.endpoint, std::move(call), options);
+    auto stream = co_await m_deps.http->open(attempt.server.endpoint, std::move(call), options);
     if (!stream) {
-        co_await attemptBroke(attempt, stream.error());
+        co_await handleCallError(attempt, stream.error());
         co_return;
     }
     const wire::HttpResponse head = (*stream)->head();
@@ -175,14 +177,14 @@
         answered(attempt, head.status, "application/json", "");
         co_return;
     }
-    // Answers to an abandoned attempt may still arrive on its connection. They are another
-    // request's, or another try's: dropped, and the connection with them.
+    // The response to an abandoned attempt may still arrive on its connection. A response that
+    // belongs to another request or attempt is dropped together with the connection.
     if (head.fields.find("Snipestall-Attempt").value_or("") != attempt.id) {
         ++m_counters.wrongAttempt;
         co_return ended(attempt, policy::AttemptResult::Cut);
     }
     wire::HttpStream *raw = stream->get();
-    request->cancels()[attempt.handle.value] = [&attempt, raw] {
+    request->cancelCallbacks()[attempt.handle.value] = [&attempt, raw] {
         attempt.cancelled = true;
         raw->close();
     };
@@ -197,27 +199,26 @@
         if (attempt.cancelled)
             co_return;
         if (!bytes) {
-            co_await attemptBroke(attempt, bytes.error());
+            co_await handleCallError(attempt, bytes.error());
             co_return;
         }
         if (!bytes->has_value())
             co_return ended(attempt, policy::AttemptResult::Cut);
         for (const wire::StreamEvent &event : parser.feed(**bytes)) {
-            if (attempt.over || !takeToken(attempt, event.data))
+            if (attempt.over || !handleTokenEvent(attempt, event.data))
                 co_return ended(attempt, policy::AttemptResult::Cut);
         }
     }
-    // The proper end of the body follows the end event; reading it frees the connection.
+    // The end of the body follows the end event; after it is read, the connection can be reused.
     if (!attempt.cancelled)
         co_await stream.read();
 }
 
-/// False if the event doesn't belong here: another attempt's, or a gap.
-bool Dispatcher::takeToken(Attempt &attempt, const std::string &data)
+bool Dispatcher::handleTokenEvent(Attempt &attempt, const std::string &data)
 {
-    boost::system::error_code bad;
-    const json::value value = json::parse(data, bad);
-    if (bad || !value.is_object())
+    boost::system::error_code parseError;
+    const json::value value = json::parse(data, parseError);
+    if (parseError || !value.is_object())
         return false;
     const json::object &token = value.get_object();
     const json::value *id = token.if_contains("attempt");
@@ -227,8 +228,8 @@
     }
     const RequestPtr request = attempt.request;
     if (token.contains("end")) {
-        if (const json::value *again = token.if_contains("recomputed"))
-            m_counters.recomputedTokens += again->to_number<std::uint64_t>();
+        if (const json::value *recomputed = token.if_contains("recomputed"))
+            m_counters.recomputedTokens += recomputed->to_number<std::uint64_t>();
         answered(attempt, 200, "", "");
         return true;
     }
@@ -238,7 +239,7 @@
         return false;
     if (!request->append(offset->to_number<std::uint64_t>(), std::string(text->get_string())))
         return false;
-    m_links.policy->post(policy::TokensProduced { request->handle(), attempt.handle, 1 });
+    m_deps.policy->post(policy::TokensProduced { request->handle(), attempt.handle, 1 });
     return true;
 }
 
@@ -250,17 +251,19 @@
     options.freshConnection = !request->spec().idempotent;
     options.beforeSend = [&attempt] { return beginSending(attempt); };
     wire::HttpRequest call = plainRequest(*request, attempt.id);
-    auto response = co_await m_links.http->fetch(attempt.server.endpoint, std::move(call), options);
+    auto response = co_await m_deps.http->fetch(attempt.server.endpoint, std::move(call), options);
     if (!response) {
-        co_await attemptBroke(attempt, response.error());
+        co_await handleCallError(attempt, response.error());
         co_return;
     }
-    const std::string echo = response->fields.find("Snipestall-Attempt").value_or(attempt.id);
-    if (echo != attempt.id) {
+    const std::string echoedAttempt =
+        response->fields.find("Snipestall-Attempt").value_or(attempt.id);
+    if (echoedAttempt != attempt.id) {
         ++m_counters.wrongAttempt;
         co_return ended(attempt, policy::AttemptResult::Cut);
     }
-    // Of a call that may run once only, a 503 proves nothing: it is passed on as the answer.
+    // For a call that may run only once, a 503 does not prove that it was not run. It is passed on
+    // as the answer.
     if (response->status == StatusUnavailable && request->spec().idempotent)
         co_return declined(attempt, retryAfterOf(*response));
     answered(attempt, response->status, response->fields.find("Content-Type").value_or(""),
@@ -279,7 +282,7 @@
     answer.body = std::move(body);
     if (refused) {
         answer.code = "rejected";
-        answer.reason = "the backend server answered " + std::to_string(status);
+        answer.reason = "the backend server answered with status " + std::to_string(status);
     }
     ended(attempt, refused ? policy::AttemptResult::Rejected : policy::AttemptResult::Completed);
     const bool claimed = !spec.idempotent && !spec.idempotencyKey.empty();
@@ -287,51 +290,53 @@
         const peer::ClaimKey key { spec.customer, spec.service, spec.idempotencyKey };
         const peer::StoredOutcome stored { answer.status, answer.contentType, answer.body,
                                            std::string(toString(answer.outcome)) };
-        m_links.claims->storeOutcome(key, request->claimedBy, stored);
+        m_deps.claims->storeOutcome(key, request->claimedBy, stored);
     }
     request->finish(std::move(answer));
 }
 
-/// The call failed. Whether bytes had left, and whether the server lives, decides what it means.
-wire::Task<void> Dispatcher::attemptBroke(Attempt &attempt, Error error)
+/// Handles a failed call. The result of the attempt depends on whether bytes were sent and whether
+/// the server is still running.
+wire::Task<void> Dispatcher::handleCallError(Attempt &attempt, Error error)
 {
     const bool sent = error.kind != ErrorKind::Unavailable;
     if (sent)
-        storeUnknown(attempt);
+        storeUnknownOutcome(attempt);
     if (attempt.cancelled || attempt.request->finished())
         co_return;
-    m_links.backends->suspect(attempt.server.handle);
+    m_deps.backends->pollNow(attempt.server.handle);
     if (!sent)
         co_return ended(attempt, policy::AttemptResult::NotSent);
-    const bool died = co_await hasEnded(*m_links.http, attempt.server.endpoint);
+    const bool died = co_await hasTerminated(*m_deps.http, attempt.server.endpoint);
     if (attempt.cancelled || attempt.request->finished())
         co_return;
-    // A server that was announced to leave was taken away; no request is to blame for that.
-    const Backend *server = m_links.backends->find(attempt.server.handle);
+    // A server that was announced as leaving has been stopped; no request caused that.
+    const Backend *server = m_deps.backends->find(attempt.server.handle);
     const bool crashed = died && (server == nullptr || !server->leaving);
     if (crashed)
-        noteCrash(attempt);
+        recordCrash(attempt);
     ended(attempt, crashed ? policy::AttemptResult::ServerDied : policy::AttemptResult::Cut);
 }
 
-void Dispatcher::noteCrash(const Attempt &attempt)
+void Dispatcher::recordCrash(const Attempt &attempt)
 {
     const RequestSpec &spec = attempt.request->spec();
     const std::string &server = attempt.server.listed.name;
     attempt.request->crashedServers().insert(server);
     const std::uint64_t fingerprint =
         CrashLedger::fingerprint(spec.customer, spec.service, spec.body);
-    // Peers hear of it at once: the caller's next try may be at their door already.
-    if (m_links.crashes->note({ fingerprint, server }, steady_clock::now()))
-        m_links.network->announce();
+    // Peers are notified immediately, because the caller may already be retrying at one of them.
+    if (m_deps.crashes->add({ fingerprint, server }, steady_clock::now()))
+        m_deps.network->announce();
 }
 
 wire::Task<void> Dispatcher::move(RequestPtr request, policy::MoveStream command, Backend from,
                                   Backend target)
 {
     std::string kv;
-    const bool exports = command.method == policy::MoveMethod::ExportKv && from.endpoint.port != 0;
-    if (exports) {
+    const bool exportsKv =
+        command.method == policy::MoveMethod::ExportKv && from.endpoint.port != 0;
+    if (exportsKv) {
         json::object body;
         body["attempt"] = attemptId(command.from);
         wire::HttpRequest call;
@@ -340,20 +345,21 @@
         call.body = json::serialize(body);
         wire::HttpCallOptions options;
         options.idleTimeout = ExportTimeout;
-        const auto response = co_await m_links.http->fetch(from.endpoint, std::move(call), options);
-        boost::system::error_code bad;
+        const auto response = co_await m_deps.http->fetch(from.endpoint, std::move(call), options);
+        boost::system::error_code parseError;
         const json::value parsed =
-            response ? json::parse(response->body, bad) : json::value(nullptr);
-        const bool exported = response && response->status == 200 && !bad && parsed.is_object();
+            response ? json::parse(response->body, parseError) : json::value(nullptr);
+        const bool exported =
+            response && response->status == 200 && !parseError && parsed.is_object();
         if (exported && parsed.get_object().contains("kv"))
             kv = std::string(parsed.at("kv").as_string());
     }
     if (request->finished())
         co_return;
-    const auto old = request->cancels().find(command.from.value);
-    if (old != request->cancels().end()) {
+    const auto old = request->cancelCallbacks().find(command.from.value);
+    if (old != request->cancelCallbacks().end()) {
         const auto cancel = std::move(old->second);
-        request->cancels().erase(old);
+        request->cancelCallbacks().erase(old);
         cancel();
     }
     co_await runOnServer(request, command.attempt, std::move(target), std::move(kv));
--- a/src/snipestall/entry/backend_directory.cpp
+++ b/src/snipestall/entry/backend_directory.cpp
@@ -24,7 +24,7 @@
 
 namespace {
 
-std::uint64_t number(const json::object &object, std::string_view name)
+std::uint64_t numberField(const json::object &object, std::string_view name)
 {
     const json::value *value = object.if_contains(name);
     if (value == nullptr || !value->is_number())
@@ -32,7 +32,7 @@
     return value->to_number<std::uint64_t>();
 }
 
-bool flag(const json::object &object, std::string_view name)
+bool boolField(const json::object &object, std::string_view name)
 {
     const json::value *value = object.if_contains(name);
     return value != nullptr && value->is_bool() && value->get_bool();
@@ -87,20 +87,20 @@
         auto instances = co_await m_list.list(m_members.dataCentre());
         if (!*alive)
             co_return;
-        // With the platform down the last list goes on being used: what it names is asked anyway.
+        // While the platform is down the last list stays in use, as its servers are polled anyway.
         if (instances)
-            takeIn(*instances);
+            applyInstanceList(*instances);
         co_await wire::sleepFor(m_options.listInterval);
     }
 }
 
-void BackendDirectory::takeIn(const std::vector<platform::ListedInstance> &instances)
+void BackendDirectory::applyInstanceList(const std::vector<platform::ListedInstance> &instances)
 {
     for (const platform::ListedInstance &listed : instances) {
         const bool backend = listed.role == platform::InstanceRole::Backend;
         const bool self = !backend && listed.name == m_members.self();
         if (backend)
-            takeInBackend(listed);
+            applyListedBackend(listed);
         else if (!self)
             m_members.learn(listed.name, listed.dataCentre, listed.address);
         else if (listed.leaving && m_onSelfLeaving)
@@ -109,7 +109,7 @@
     reassign();
 }
 
-void BackendDirectory::takeInBackend(const platform::ListedInstance &listed)
+void BackendDirectory::applyListedBackend(const platform::ListedInstance &listed)
 {
     const auto endpoint = wire::Endpoint::parse(listed.address);
     if (!endpoint)
@@ -122,7 +122,7 @@
         markLeaving(listed.name, listed.incarnation, listed.noticeLeft.value_or(milliseconds(0)));
 }
 
-// A new incarnation is another server at the same name: nothing known of the former one holds.
+// A new incarnation is a different server with the same name: no state of the previous one applies.
 void BackendDirectory::replace(Backend &backend, const platform::ListedInstance &listed)
 {
     lose(backend);
@@ -130,7 +130,7 @@
     fresh.listed = listed;
     fresh.endpoint = wire::Endpoint::parse(listed.address).value_or(wire::Endpoint {});
     fresh.handle = { ++m_nextHandle };
-    fresh.leaving = knownLeaving(listed.name, listed.incarnation);
+    fresh.leaving = isKnownLeaving(listed.name, listed.incarnation);
     fresh.polling = backend.polling;
     backend = std::move(fresh);
 }
@@ -176,49 +176,52 @@
     backend.polling = false;
     if (backend.handle != asked)
         co_return;
-    boost::system::error_code bad;
-    const json::value load = response ? json::parse(response->body, bad) : json::value(nullptr);
-    if (response && response->status == 200 && !bad && load.is_object()) {
-        takeInLoad(backend, load.get_object());
+    boost::system::error_code parseError;
+    const json::value load =
+        response ? json::parse(response->body, parseError) : json::value(nullptr);
+    if (response && response->status == 200 && !parseError && load.is_object()) {
+        applyLoad(backend, load.get_object());
         co_return;
     }
-    if (++backend.failedPolls >= m_options.failedPollsToLose)
+    if (++backend.failedPolls >= m_options.failedPollsUntilLost)
         lose(backend);
 }
 
-void BackendDirectory::takeInLoad(Backend &backend, const json::object &load)
+void BackendDirectory::applyLoad(Backend &backend, const json::object &load)
 {
     backend.failedPolls = 0;
-    const std::uint64_t incarnation = number(load, "incarnation");
-    // Another incarnation answers at this address: wait until the list says what it is.
+    const std::uint64_t incarnation = numberField(load, "incarnation");
+    // Another incarnation answers at this address; wait until the platform's list describes it.
     if (incarnation != backend.listed.incarnation)
         return lose(backend);
-    if (flag(load, "leaving"))
-        markLeaving(backend.listed.name, incarnation, milliseconds(number(load, "notice_ms")));
-    const auto slots = static_cast<std::uint32_t>(number(load, "slots"));
-    std::vector<std::string> loaded = models(load);
-    const bool news = !backend.up || slots != backend.slots || loaded != backend.models;
+    if (boolField(load, "leaving"))
+        markLeaving(backend.listed.name, incarnation, milliseconds(numberField(load, "notice_ms")));
+    const auto slots = static_cast<std::uint32_t>(numberField(load, "slots"));
+    std::vector<std::string> loadedModels = models(load);
+    const bool changed = !backend.up || slots != backend.slots || loadedModels != backend.models;
     backend.slots = slots;
-    backend.models = std::move(loaded);
+    backend.models = std::move(loadedModels);
     if (!backend.owned || backend.leaving)
         return;
-    if (news) {
-        const bool first = !std::exchange(backend.up, true);
+    if (changed) {
+        const bool cameUp = !std::exchange(backend.up, true);
         m_policy.post(policy::ServerUp { backend.handle, backend.listed.service,
                                          backend.listed.dataCentre, backend.listed.instanceClass,
                                          backend.slots, backend.models });
-        if (first) {
+        if (cameUp) {
             logEvent(events::ServerUp, { { "server", backend.listed.name } });
-            // The policy takes the server in within this turn of the loop; then peers are told.
+            // The policy processes the server within this iteration of the loop; the callback runs
+            // after that, so that peers get the new state.
             boost::asio::post(m_io, [this, alive = m_alive] {
                 if (*alive && m_onChange)
                     m_onChange();
             });
         }
     }
-    m_policy.post(policy::ServerReport {
-        backend.handle, static_cast<std::uint32_t>(number(load, "running")),
-        static_cast<std::uint32_t>(number(load, "queued")), milliseconds(number(load, "age_ms")) });
+    m_policy.post(policy::ServerReport { backend.handle,
+                                         static_cast<std::uint32_t>(numberField(load, "running")),
+                                         static_cast<std::uint32_t>(numberField(load, "queued")),
+                                         milliseconds(numberField(load, "age_ms")) });
 }
 
 void BackendDirectory::lose(Backend &backend)
@@ -229,19 +232,19 @@
     m_policy.post(policy::ServerGone { backend.handle });
 }
 
-bool BackendDirectory::knownLeaving(const std::string &name, std::uint64_t incarnation) const
+bool BackendDirectory::isKnownLeaving(const std::string &name, std::uint64_t incarnation) const
 {
     const auto it = m_leaving.find(name);
     return it != m_leaving.end() && it->second >= incarnation;
 }
 
-// The platform's list lags by half a minute and goes on calling a leaving server live. Were that
-// believed, the server would be given requests that die with it. So the word is kept by
-// incarnation and passed on to peers; only a greater incarnation is a new server.
+// The platform's list lags by half a minute and still lists a leaving server as live. If that were
+// trusted, the server would get requests that are lost when it stops. Therefore the mark is kept
+// per incarnation and passed on to peers; only a higher incarnation is a new server.
 void BackendDirectory::markLeaving(const std::string &server, std::uint64_t incarnation,
                                    milliseconds notice)
 {
-    if (knownLeaving(server, incarnation))
+    if (isKnownLeaving(server, incarnation))
         return;
     m_leaving[server] = incarnation;
     logEvent(events::ServerLeaving,
@@ -264,14 +267,14 @@
     return servers;
 }
 
-bool BackendDirectory::hasUp(const std::string &service) const
+bool BackendDirectory::hasServerUp(const std::string &service) const
 {
     return std::any_of(m_backends.begin(), m_backends.end(), [&](const auto &entry) {
         return entry.second.listed.service == service && entry.second.up && !entry.second.leaving;
     });
 }
 
-void BackendDirectory::suspect(policy::ServerHandle handle)
+void BackendDirectory::pollNow(policy::ServerHandle handle)
 {
     for (auto &[name, backend] : m_backends) {
         if (backend.handle == handle && backend.owned && !backend.polling)
--- a/src/snipestall/entry/caller_api.cpp
+++ b/src/snipestall/entry/caller_api.cpp
@@ -36,9 +36,9 @@
 constexpr std::string_view RequestsPrefix = "/v1/requests/";
 constexpr std::string_view BearerPrefix = "Bearer ";
 constexpr std::size_t MaxKeyLength = 256;
-constexpr milliseconds LongestDeadline { 3600000 };
-constexpr milliseconds ComeBackElsewhere { 1000 };
-/// Long work: this many times what counts as short.
+constexpr milliseconds MaxDeadline { 3600000 };
+constexpr milliseconds RetryElsewhereAfter { 1000 };
+/// Model requests with more than this many times the token limit of a short request are patient.
 constexpr std::uint32_t PatientFactor = 8;
 
 std::string bearer(const wire::HttpRequest &request)
@@ -83,9 +83,9 @@
     Route route;
 };
 
-CallerApi::CallerApi(CallerApiLinks links, std::uint64_t seed)
-    : m_links(links)
-    , m_state(seed)
+CallerApi::CallerApi(CallerApiDependencies dependencies, std::uint64_t seed)
+    : m_deps(dependencies)
+    , m_randomState(seed)
 { }
 
 CallerApi::~CallerApi() = default;
@@ -97,12 +97,12 @@
 
 std::string CallerApi::newRequestId()
 {
-    Random random(m_state);
-    m_state = random.next();
+    Random random(m_randomState);
+    m_randomState = random.next();
     std::array<char, 17> hex {};
     std::snprintf(hex.data(), hex.size(), "%016llx",
                   static_cast<unsigned long long>(random.next()));
-    return m_links.members->self() + "~" + hex.data();
+    return m_deps.members->self() + "~" + hex.data();
 }
 
 wire::Task<void> CallerApi::refuseInvalid(Call &call, int status, std::string message)
@@ -117,38 +117,40 @@
         { "POST", "/v1/chat/completions", false, &CallerApi::chat },
         { "POST", "/v1/completions", false, &CallerApi::complete },
         { "GET", "/v1/models", false, &CallerApi::models },
-        { "GET", RequestsPrefix, true, &CallerApi::comeBack },
+        { "GET", RequestsPrefix, true, &CallerApi::resumeRequest },
         { "", ServicesPrefix, true, &CallerApi::plain },
     } };
-    Call call { exchange, exchange.request(), m_links.settings->effective(), {}, 0 };
+    Call call { exchange, exchange.request(), m_deps.settings->effective(), {}, 0 };
     if (call.settings == nullptr || !m_ready) {
         auto response = errorResponse(503, "not-run", "starting",
-                                      "this instance has no confirmed settings yet: it was not "
-                                      "run; send it again",
-                                      ComeBackElsewhere);
+                                      "this instance has no confirmed settings yet; the request "
+                                      "was not run, send it again",
+                                      RetryElsewhereAfter);
         co_await exchange.respond(std::move(response));
         co_return;
     }
     const auto &keys = call.settings->customerByKeyHash;
     const auto customer = settings::holderOfKey(keys, bearer(call.request));
     if (!customer) {
-        co_await refuseInvalid(call, 401, "no customer has this key; send Authorization: Bearer");
+        co_await refuseInvalid(
+            call, 401, "the key belongs to no customer; send a valid key as Authorization: Bearer");
         co_return;
     }
     call.customer = *customer;
     for (const RouteEntry &entry : routes) {
         const std::string_view path = call.request.path();
-        const bool fits = entry.prefix ? path.starts_with(entry.path) : path == entry.path;
-        if (!fits)
+        const bool matches = entry.prefix ? path.starts_with(entry.path) : path == entry.path;
+        if (!matches)
             continue;
         if (!entry.method.empty() && entry.method != call.request.method) {
-            co_await refuseInvalid(call, 405, "use " + std::string(entry.method) + " here");
+            co_await refuseInvalid(call, 405,
+                                   "this path accepts " + std::string(entry.method) + " only");
             co_return;
         }
         co_await (this->*entry.route)(call);
         co_return;
     }
-    co_await refuseInvalid(call, 404, "no such path; docs/api.md lists them");
+    co_await refuseInvalid(call, 404, "the path does not exist; see docs/api.md for the paths");
 }
 
 wire::Task<void> CallerApi::chat(Call &call)
@@ -165,8 +167,8 @@
 {
     std::set<std::string> names;
     for (const settings::ServiceSettings &service : call.settings->services) {
-        const bool mine = call.settings->leaf(call.customer, service.service) != nullptr;
-        if (mine)
+        const bool permitted = call.settings->leaf(call.customer, service.service) != nullptr;
+        if (permitted)
             names.insert(service.models.begin(), service.models.end());
     }
     json::array data;
@@ -187,13 +189,13 @@
         co_return;
     }
     const settings::ServiceSettings *service = call.settings->serviceOfModel(parsed->model);
-    const bool mine =
+    const bool permitted =
         service != nullptr && call.settings->leaf(call.customer, service->service) != nullptr;
-    if (!mine) {
+    if (!permitted) {
         co_await refuseInvalid(call, 404,
                                "no model '" + parsed->model
-                                   + "' for you; GET /v1/models lists "
-                                     "yours");
+                                   + "' is available to this customer; "
+                                     "GET /v1/models lists the models");
         co_return;
     }
     RequestSpec spec;
@@ -216,10 +218,11 @@
     std::string_view rest = call.request.path().substr(ServicesPrefix.size());
     const std::string name(rest.substr(0, rest.find('/')));
     const settings::ServiceSettings *service = call.settings->service(name);
-    const bool mine = service != nullptr && service->kind == settings::ServiceKind::Plain
+    const bool permitted = service != nullptr && service->kind == settings::ServiceKind::Plain
         && call.settings->leaf(call.customer, name) != nullptr;
-    if (!mine) {
-        co_await refuseInvalid(call, 404, "no plain service '" + name + "' for you");
+    if (!permitted) {
+        co_await refuseInvalid(call, 404,
+                               "no plain service '" + name + "' is available to this customer");
         co_return;
     }
     RequestSpec spec;
@@ -249,14 +252,14 @@
     spec.service = service.service;
     spec.settingsVersion = call.settings->version;
     spec.idempotencyKey = fields.find("Idempotency-Key").value_or("");
-    const std::string marked = fields.find("Snipestall-Idempotent").value_or("");
-    spec.idempotent = marked.empty() ? service.idempotent : marked != "no";
+    const std::string idempotentHeader = fields.find("Snipestall-Idempotent").value_or("");
+    spec.idempotent = idempotentHeader.empty() ? service.idempotent : idempotentHeader != "no";
     spec.urgency = urgencyOf(call.request, spec, service);
     const auto fallback = static_cast<std::uint64_t>(leaf->deadline.count());
     const std::string asked = fields.find("Snipestall-Deadline-Ms").value_or("");
     const std::uint64_t deadline = asked.empty() ? fallback : parseNumber(asked, 0);
-    const auto longest = static_cast<std::uint64_t>(LongestDeadline.count());
-    if (deadline == 0 || deadline > longest || spec.idempotencyKey.size() > MaxKeyLength)
+    const auto maxDeadline = static_cast<std::uint64_t>(MaxDeadline.count());
+    if (deadline == 0 || deadline > maxDeadline || spec.idempotencyKey.size() > MaxKeyLength)
         return false;
     spec.deadline = steady_clock::now() + milliseconds(deadline);
     return true;
@@ -264,17 +267,17 @@
 
 wire::Task<void> CallerApi::run(Call &call, RequestSpec spec, bool stream, bool chat)
 {
-    // A caller's repeat joins the request that runs, instead of running beside it.
+    // A repeat by a caller joins the existing request instead of running a second time.
     if (!spec.idempotencyKey.empty()) {
         const RequestPtr same =
-            m_links.store->findByKey(spec.customer, spec.service, spec.idempotencyKey);
+            m_deps.store->findByKey(spec.customer, spec.service, spec.idempotencyKey);
         const bool refused =
             same != nullptr && same->finished() && same->finalAnswer()->outcome == Outcome::NotRun;
         if (same != nullptr && !refused) {
             if (same->spec().body != spec.body) {
                 co_await refuseInvalid(call, 409,
-                                       "this Idempotency-Key was used with another "
-                                       "body; choose a new key");
+                                       "this Idempotency-Key was already used with a "
+                                       "different body; use a new key");
                 co_return;
             }
             co_await answer(call, same, stream, chat);
@@ -283,17 +286,17 @@
     }
     if (m_draining) {
         auto response = errorResponse(503, "not-run", "leaving",
-                                      "this instance is leaving: it was not run; send it again, "
-                                      "another instance takes it",
-                                      ComeBackElsewhere);
+                                      "this instance is shutting down; the request was not run and "
+                                      "can be sent again to another instance",
+                                      RetryElsewhereAfter);
         co_await call.exchange.respond(std::move(response));
         co_return;
     }
     const RequestPtr request =
-        Request::create(m_links.io->get_executor(), std::move(spec), m_links.store->nextHandle());
-    m_links.dispatcher->arrive(request, false);
+        Request::create(m_deps.io->get_executor(), std::move(spec), m_deps.store->nextHandle());
+    m_deps.dispatcher->handleArrival(request, false);
     if (call.request.fields.find("Prefer").value_or("") == "respond-async") {
-        co_await m_links.dispatcher->accept(request);
+        co_await m_deps.dispatcher->accept(request);
         wire::HttpResponse response = wire::HttpResponse::json(
             202, json::serialize(json::object { { "id", request->spec().id } }));
         response.fields.set("Location", std::string(RequestsPrefix) + request->spec().id);
@@ -306,7 +309,7 @@
 
 wire::Task<void> CallerApi::answer(Call &call, RequestPtr request, bool stream, bool chat)
 {
-    AnswerForm form;
+    AnswerFormat form;
     form.chat = chat;
     form.stream = stream;
     form.from = call.from;
@@ -314,7 +317,8 @@
     try {
         co_await writeAnswer(call.exchange, request, form);
     } catch (...) {
-        // The caller hung up. The request goes on: the caller may come back for it.
+        // The caller closed the connection. The request continues, because the caller may
+        // reconnect.
         --request->readers;
         throw;
     }
--- a/src/snipestall/entry/caller_call.hpp
+++ b/src/snipestall/entry/caller_call.hpp
@@ -17,7 +17,7 @@
     const wire::HttpRequest &request;
     std::shared_ptr<const settings::EffectiveSettings> settings;
     std::string customer;
-    /// First offset wanted.
+    /// First offset that the caller wants.
     std::uint64_t from = 0;
 };
 
--- a/src/snipestall/entry/caller_come_back.cpp
+++ b/src/snipestall/entry/caller_resume.cpp
@@ -27,16 +27,17 @@
 namespace {
 
 constexpr std::string_view RequestsPrefix = "/v1/requests/";
-/// A home that died is suspected and its requests adopted within this.
-constexpr milliseconds SearchTime { 8000 };
-constexpr milliseconds SearchPause { 250 };
-constexpr milliseconds FollowTimeout { 3600000 };
-/// The buddy is the first in rendezvous order; more are asked since views of who lives differ.
+/// Within this time a lost home is suspected and its requests are taken over.
+constexpr milliseconds MaxSearchTime { 8000 };
+constexpr milliseconds SearchInterval { 250 };
+constexpr milliseconds MirrorTimeout { 3600000 };
+/// The buddy is the first in rendezvous order. More instances are asked because instances may
+/// disagree on which members are alive.
 constexpr std::size_t MaxAsked = 4;
 
 std::uint64_t offsetOf(const wire::HttpRequest &request)
 {
-    // Last-Event-ID names the last offset that the caller has, as browsers send it.
+    // Last-Event-ID holds the last offset that the caller has received, as browsers send it.
     const std::string last = request.fields.find("Last-Event-ID").value_or("");
     std::uint64_t offset = 0;
     const char *end = last.data() + last.size();
@@ -46,7 +47,7 @@
 
 } // namespace
 
-wire::Task<void> CallerApi::comeBack(Call &call)
+wire::Task<void> CallerApi::resumeRequest(Call &call)
 {
     const std::string id(call.request.path().substr(RequestsPrefix.size()));
     call.from = offsetOf(call.request);
@@ -54,16 +55,18 @@
     if (request == nullptr) {
         auto response = errorResponse(404, "", "not_found",
                                       "no request '" + id
-                                          + "' of yours is known; answers are "
-                                            "kept for a short while only");
+                                          + "' of this customer is known; answers "
+                                            "are kept only for a short time");
         co_await call.exchange.respond(std::move(response));
         co_return;
     }
-    // Tokens beyond what is known here came from an instance that died before a copy had them;
-    // joining others to them would make an answer of two halves that don't fit.
+    // Tokens beyond the known output came from an instance that was lost before they were
+    // replicated. Continuing after them would make an answer of two parts that do not match.
     const bool ahead = request->finished() && call.from > request->nextOffset();
     if (ahead) {
-        auto response = errorResponse(409, "", "offset_ahead", "come back with a smaller offset");
+        auto response = errorResponse(
+            409, "", "offset_ahead",
+            "the requested offset is beyond the end of the answer; use a smaller offset");
         response.fields.set("Snipestall-Next-Offset", std::to_string(request->nextOffset()));
         co_await call.exchange.respond(std::move(response));
         co_return;
@@ -74,19 +77,20 @@
     co_await answer(call, request, stream, call.request.query("form") != "completion");
 }
 
-/// Here, at its home, or with the instances that may hold its copy. A home that does not answer
-/// may have died a moment ago and still count as live here: then the search goes on until one of
-/// the others has taken the request over. Only the home's own word ends it sooner.
+/// Searches this instance, the home of the request and the instances that may hold its replica. A
+/// home that does not answer may have just been lost and still count as live here; then the search
+/// continues until one of the others has taken over the request. Only a negative answer of the home
+/// itself ends the search earlier.
 wire::Task<RequestPtr> CallerApi::locate(std::string id, std::string customer, std::uint64_t offset)
 {
     const std::string home = id.substr(0, id.find('~'));
-    const auto until = steady_clock::now() + SearchTime;
+    const auto until = steady_clock::now() + MaxSearchTime;
     while (true) {
-        const RequestPtr local = m_links.store->find(id);
+        const RequestPtr local = m_deps.store->find(id);
         if (local != nullptr && !local->moved)
             co_return local->spec().customer == customer ? local : nullptr;
         bool homeDenies = false;
-        for (const std::string &peer : holders(id, home)) {
+        for (const std::string &peer : candidateInstances(id, home)) {
             auto found = co_await askPeer(peer, id, customer, offset);
             if (found)
                 co_return *found;
@@ -94,19 +98,20 @@
             homeDenies = homeDenies || (peer == home && denies);
         }
         const bool homeKnown =
-            m_links.members->find(home) != nullptr || home == m_links.members->self();
+            m_deps.members->find(home) != nullptr || home == m_deps.members->self();
         if (homeDenies || !homeKnown || steady_clock::now() >= until)
             co_return nullptr;
-        co_await wire::sleepFor(SearchPause);
+        co_await wire::sleepFor(SearchInterval);
     }
 }
 
-std::vector<std::string> CallerApi::holders(const std::string &id, const std::string &home) const
+std::vector<std::string> CallerApi::candidateInstances(const std::string &id,
+                                                       const std::string &home) const
 {
-    const peer::Member *member = m_links.members->find(home);
+    const peer::Member *member = m_deps.members->find(home);
     const std::string &dataCentre =
-        member != nullptr ? member->dataCentre : m_links.members->dataCentre();
-    std::vector<std::string> asked = m_links.members->membersOf(dataCentre);
+        member != nullptr ? member->dataCentre : m_deps.members->dataCentre();
+    std::vector<std::string> asked = m_deps.members->membersOf(dataCentre);
     std::erase(asked, home);
     asked = rendezvousOrder(id, asked);
     asked.resize(std::min(asked.size(), MaxAsked));
@@ -118,20 +123,20 @@
 wire::Task<Result<RequestPtr>> CallerApi::askPeer(std::string peer, std::string id,
                                                   std::string customer, std::uint64_t offset)
 {
-    peer::PeerClient *client = m_links.network->client(peer);
+    peer::PeerClient *client = m_deps.network->client(peer);
     if (client == nullptr)
-        co_return fail(ErrorKind::Unavailable, "no address of '" + peer + "' is known");
+        co_return fail(ErrorKind::Unavailable, "the address of '" + peer + "' is not known");
     peer::v1::FindRequestRequest question;
     question.set_request(id);
     question.set_customer(customer);
     question.set_offset(offset);
-    const std::shared_ptr<peer::ForwardCall> call = client->findRequest(question, FollowTimeout);
+    const std::shared_ptr<peer::ForwardCall> call = client->findRequest(question, MirrorTimeout);
     auto first = co_await call->read();
     if (!first)
         co_return tl::unexpected<Error>(first.error());
     const bool found = first->has_value() && (*first)->kind() == ForwardEvent::ACCEPTED;
     if (!found)
-        co_return fail(ErrorKind::NotFound, "'" + peer + "' does not know it");
+        co_return fail(ErrorKind::NotFound, "'" + peer + "' does not have the request");
     RequestSpec spec;
     spec.id = id;
     spec.customer = customer;
@@ -139,13 +144,14 @@
     spec.model = (*first)->server();
     spec.kind = spec.model.empty() ? settings::ServiceKind::Plain : settings::ServiceKind::Model;
     const RequestPtr mirror =
-        Request::create(m_links.io->get_executor(), std::move(spec), policy::RequestHandle {});
-    boost::asio::co_spawn(*m_links.io, follow(mirror, call), boost::asio::detached);
+        Request::create(m_deps.io->get_executor(), std::move(spec), policy::RequestHandle {});
+    boost::asio::co_spawn(*m_deps.io, fillMirror(mirror, call), boost::asio::detached);
     co_return mirror;
 }
 
-/// Fills a copy of a request that lives elsewhere, for one caller who reads it here.
-wire::Task<void> CallerApi::follow(RequestPtr mirror, std::shared_ptr<peer::ForwardCall> call)
+/// Copies the output of a request on another instance into `mirror`, for one caller that reads it
+/// here.
+wire::Task<void> CallerApi::fillMirror(RequestPtr mirror, std::shared_ptr<peer::ForwardCall> call)
 {
     while (!mirror->finished()) {
         auto next = co_await call->read();
@@ -173,7 +179,8 @@
         mirror->finish(std::move(answer));
         mirror->release(mirror->progress());
     }
-    // The instance that answered is lost: the caller's stream is cut and it comes back once more.
+    // The instance that sent the output is lost: the caller's stream is ended and the caller
+    // reconnects.
     if (!mirror->finished())
         mirror->moved = true;
     mirror->changed().notifyAll();
--- a/src/snipestall/entry/crash_ledger.cpp
+++ b/src/snipestall/entry/crash_ledger.cpp
@@ -8,14 +8,19 @@
 
 namespace {
 
-/// A caller's retries come within minutes; after this a rebuilt engine may well take the request.
-constexpr std::chrono::minutes KeepReports { 15 };
-/// Bounds the heartbeat: 32 reports are some 800 bytes, and only while servers crash.
+/// Retries of a caller arrive within minutes; after this time a rebuilt engine may be able to run
+/// the request.
+constexpr std::chrono::minutes ReportRetention { 15 };
+/// Bounds the size of heartbeats: 32 reports take about 800 bytes, and are sent only while servers
+/// crash.
 constexpr std::size_t MaxReports = 32;
-constexpr std::chrono::seconds TogetherWithin { 5 };
-/// A second try waits for a peer's summary and for a server to be emptied; then it takes moments.
-constexpr std::chrono::seconds TrialTime { 10 };
-constexpr std::size_t ManyServers = 4;
+/// Other crashes within this time of the last crash of a request may have the same cause as it.
+constexpr std::chrono::seconds CommonCauseWindow { 5 };
+/// How long copies are held back after a crash. The second attempt waits for a peer's load summary
+/// and for a server to be drained, and then takes only moments.
+constexpr std::chrono::seconds TrialDuration { 10 };
+/// Number of servers that must crash together to suggest a common cause.
+constexpr std::size_t MinServersForCommonCause = 4;
 
 } // namespace
 
@@ -27,7 +32,7 @@
     return stableHash(joined);
 }
 
-bool CrashLedger::note(const peer::CrashReport &report, std::chrono::steady_clock::time_point now)
+bool CrashLedger::add(const peer::CrashReport &report, std::chrono::steady_clock::time_point now)
 {
     const auto same = std::find_if(m_entries.begin(), m_entries.end(),
                                    [&](const Entry &entry) { return entry.report == report; });
@@ -39,9 +44,10 @@
     return true;
 }
 
-// A rack that loses its power takes many servers at once, and with them requests that did nothing;
-// one that is moved from the first to die to the next would pass for the cause. So where many
-// servers died together, only a request that was on at least half of them is blamed.
+// A power failure of a rack takes down many servers at once, together with requests that are not
+// the cause. A request that is moved from the first failing server to the next would look like the
+// cause. Therefore, when many servers crash together, the crashes are attributed only to a request
+// that was on at least half of them.
 std::set<std::string> CrashLedger::servers(std::uint64_t fingerprint) const
 {
     std::set<std::string> names;
@@ -52,32 +58,35 @@
         names.insert(entry.report.server);
         last = std::max(last, entry.at);
     }
-    std::set<std::string> together;
+    std::set<std::string> crashedTogether;
     for (const Entry &entry : m_entries) {
-        if (std::chrono::abs(entry.at - last) <= TogetherWithin)
-            together.insert(entry.report.server);
+        if (std::chrono::abs(entry.at - last) <= CommonCauseWindow)
+            crashedTogether.insert(entry.report.server);
     }
-    const bool commonCause = together.size() >= ManyServers && names.size() * 2 < together.size();
+    const bool commonCause = crashedTogether.size() >= MinServersForCommonCause
+        && names.size() * 2 < crashedTogether.size();
     return commonCause ? std::set<std::string> {} : names;
 }
 
-// Failure: a caller sends a crashing request to several instances at once. After the first death
-// each instance tries its own copy alone on a server; it shows as three and more servers lost to
-// one prompt. The copy that was there first has its second try; others wait until that is decided.
-std::chrono::milliseconds CrashLedger::trialLeft(std::uint64_t fingerprint,
-                                                 std::chrono::steady_clock::time_point now) const
+// A caller may send a crashing request to several instances at once. If each instance retried its
+// own copy alone on a server after the first crash, three or more servers would be lost to one
+// prompt. Therefore only the first copy gets a second attempt; the others are held back until that
+// is decided.
+std::chrono::milliseconds
+CrashLedger::remainingTrialTime(std::uint64_t fingerprint,
+                                std::chrono::steady_clock::time_point now) const
 {
     std::chrono::milliseconds left {};
     for (const Entry &entry : m_entries) {
-        const auto rest =
-            std::chrono::duration_cast<std::chrono::milliseconds>(entry.at + TrialTime - now);
+        const auto remaining =
+            std::chrono::duration_cast<std::chrono::milliseconds>(entry.at + TrialDuration - now);
         if (entry.report.fingerprint == fingerprint)
-            left = std::max(left, rest);
+            left = std::max(left, remaining);
     }
     return left;
 }
 
-std::vector<peer::CrashReport> CrashLedger::recent() const
+std::vector<peer::CrashReport> CrashLedger::recentReports() const
 {
     std::vector<peer::CrashReport> reports;
     reports.reserve(m_entries.size());
@@ -88,7 +97,8 @@
 
 void CrashLedger::expire(std::chrono::steady_clock::time_point now)
 {
-    std::erase_if(m_entries, [now](const Entry &entry) { return now - entry.at > KeepReports; });
+    std::erase_if(m_entries,
+                  [now](const Entry &entry) { return now - entry.at > ReportRetention; });
 }
 
 } // namespace snipestall::entry
--- a/src/snipestall/entry/dispatcher.cpp
+++ b/src/snipestall/entry/dispatcher.cpp
@@ -11,7 +11,7 @@
 
 #include "attempt.hpp"
 #include "refusal.hpp"
-#include "trial_gate.hpp"
+#include "trial_coordinator.hpp"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -24,18 +24,20 @@
 namespace {
 
 constexpr int StatusUnavailable = 503;
-constexpr std::size_t PrefixBlock = 64;
-/// As the policy's own count: one death may be the server's fault, two are the request's.
-constexpr std::size_t ServersLostAtMost = 2;
-/// Deeper prefixes add bytes to each event and hardly a hit.
+/// Bytes of a prompt per prefix hash.
+constexpr std::size_t PrefixBlockBytes = 64;
+/// Same limit as in the policy: one crash may be the server's fault, two are attributed to the
+/// request.
+constexpr std::size_t MaxServersLost = 2;
+/// Longer prefix chains would make each event larger and add hardly any cache hits.
 constexpr std::size_t MaxPrefixBlocks = 32;
 
 std::vector<std::uint64_t> prefixChain(const std::string &prompt)
 {
     std::vector<std::uint64_t> chain;
-    const std::size_t blocks = std::min(prompt.size() / PrefixBlock, MaxPrefixBlocks);
+    const std::size_t blocks = std::min(prompt.size() / PrefixBlockBytes, MaxPrefixBlocks);
     for (std::size_t block = 1; block <= blocks; ++block)
-        chain.push_back(stableHash(std::string_view(prompt).substr(0, block * PrefixBlock)));
+        chain.push_back(stableHash(std::string_view(prompt).substr(0, block * PrefixBlockBytes)));
     return chain;
 }
 
@@ -88,30 +90,29 @@
     return m_name + "/" + std::to_string(m_incarnation) + "/" + std::to_string(handle.value);
 }
 
-void Dispatcher::arrive(const RequestPtr &request, bool accepted)
+void Dispatcher::handleArrival(const RequestPtr &request, bool accepted)
 {
-    m_links.store->add(request);
-    const bool fresh = !accepted && !request->forwarded;
-    if (!fresh || !refuseDuringTrial(request))
+    m_deps.store->add(request);
+    const bool isNew = !accepted && !request->forwarded;
+    if (!isNew || !refuseDuringTrial(request))
         submit(request, accepted);
     if (!request->forwarded)
-        boost::asio::co_spawn(*m_links.io, replicate(request), boost::asio::detached);
+        boost::asio::co_spawn(*m_deps.io, replicate(request), boost::asio::detached);
 }
 
 bool Dispatcher::refuseDuringTrial(const RequestPtr &request)
 {
     const RequestSpec &spec = request->spec();
-    const auto left =
-        m_links.crashes->trialLeft(CrashLedger::fingerprint(spec.customer, spec.service, spec.body),
-                                   std::chrono::steady_clock::now());
+    const auto left = m_deps.crashes->remainingTrialTime(
+        CrashLedger::fingerprint(spec.customer, spec.service, spec.body),
+        std::chrono::steady_clock::now());
     if (left.count() <= 0)
         return false;
     FinalAnswer answer;
     answer.outcome = Outcome::NotRun;
     answer.status = StatusUnavailable;
     answer.code = "suspected";
-    answer.reason =
-        "the same request has just taken down a backend server and is being tried again";
+    answer.reason = "the same request has just crashed a backend server and is being retried";
     answer.retryAfter = left;
     logRefusal(*request, answer);
     finish(request, std::move(answer));
@@ -120,17 +121,19 @@
 
 wire::Task<bool> Dispatcher::awaitTrial(RequestPtr request)
 {
-    co_await m_links.trials->begin(request);
+    co_await m_deps.trials->awaitTurn(request);
     if (request->finished() || request->moved || refuseQuarantined(request))
         co_return false;
-    // A copy of it that ran has taken a server down meanwhile; this one has cost nothing yet.
+    // Another copy may have crashed a server in the meantime; this copy has not run yet, so it can
+    // be refused.
     co_return request->forwarded || request->maybeSent() || !refuseDuringTrial(request);
 }
 
 void Dispatcher::submit(const RequestPtr &request, bool accepted)
 {
-    // A caller whose request took a server down sends it again, perhaps at another instance. Its
-    // fingerprint brings along which servers died with it, so that it is not given a third.
+    // A caller whose request crashed a server may send it again, perhaps to another instance. The
+    // crashes recorded under its fingerprint are added, so that the request does not reach a third
+    // server.
     const RequestSpec &spec = request->spec();
     const std::string from = request->forwarded ? "peer" : accepted ? "home" : "caller";
     logEvent(events::RequestAccepted,
@@ -140,12 +143,12 @@
                { "offset", std::to_string(request->nextOffset()) } });
     const std::uint64_t fingerprint =
         CrashLedger::fingerprint(spec.customer, spec.service, spec.body);
-    const auto known = m_links.crashes->servers(fingerprint);
+    const auto known = m_deps.crashes->servers(fingerprint);
     request->crashedServers().insert(known.begin(), known.end());
     policy::RequestArrived event = arrival(*request, accepted);
     event.fingerprint = fingerprint;
     event.crashes = static_cast<std::uint32_t>(request->crashedServers().size());
-    m_links.policy->post(std::move(event));
+    m_deps.policy->post(std::move(event));
 }
 
 void Dispatcher::cancel(const RequestPtr &request)
@@ -156,7 +159,7 @@
     answer.outcome = request->maybeSent() ? Outcome::Failed : Outcome::NotRun;
     answer.status = 499;
     answer.code = "cancelled";
-    answer.reason = "nobody waits for the answer any more";
+    answer.reason = "the request was cancelled because its answer is no longer needed";
     finish(request, std::move(answer));
 }
 
@@ -164,10 +167,10 @@
 {
     if (!request->finish(std::move(answer)))
         return;
-    giveBackClaim(*request);
-    m_links.policy->post(policy::RequestCancelled { request->handle() });
-    const auto cancels = std::exchange(request->cancels(), {});
-    for (const auto &[attempt, cancel] : cancels)
+    releaseClaim(*request);
+    m_deps.policy->post(policy::RequestCancelled { request->handle() });
+    const auto cancelCallbacks = std::exchange(request->cancelCallbacks(), {});
+    for (const auto &[attempt, cancel] : cancelCallbacks)
         cancel();
 }
 
@@ -179,12 +182,12 @@
 void Dispatcher::release(const RequestPtr &request)
 {
     request->moved = true;
-    giveBackClaim(*request);
-    m_links.policy->post(policy::RequestCancelled { request->handle() });
-    const auto cancels = std::exchange(request->cancels(), {});
-    for (const auto &[attempt, cancel] : cancels)
+    releaseClaim(*request);
+    m_deps.policy->post(policy::RequestCancelled { request->handle() });
+    const auto cancelCallbacks = std::exchange(request->cancelCallbacks(), {});
+    for (const auto &[attempt, cancel] : cancelCallbacks)
         cancel();
-    m_links.store->remove(request);
+    m_deps.store->remove(request);
     request->changed().notifyAll();
 }
 
@@ -197,20 +200,20 @@
 wire::Task<void> Dispatcher::accept(RequestPtr request)
 {
     if (!request->forwarded)
-        co_await m_links.records->hold(request);
+        co_await m_deps.records->hold(request);
     while (request->suspended && !request->moved && !request->finished())
         co_await request->changed().wait();
 }
 
-// Output is shown to the caller only once the buddy has it. Without that, a caller that had read
-// further than the copy of an instance that died would be given a continuation generated anew
-// from an earlier token: an answer joined of two that don't fit.
+// Output is released to the caller only once the buddy has it. Otherwise a caller could have read
+// further than the replica of a lost instance, and would get a continuation that is generated again
+// from an earlier token: an answer made of two parts that do not match.
 wire::Task<void> Dispatcher::replicate(RequestPtr request)
 {
     while (true) {
         const std::uint64_t progress = request->progress();
         if (progress > request->released()) {
-            co_await m_links.records->hold(request);
+            co_await m_deps.records->hold(request);
             request->release(progress);
             continue;
         }
@@ -225,15 +228,16 @@
     m_peers[handle] = name;
 }
 
-// The policy counts the crashes that this instance has seen. Copies of one request at several
-// instances each take down a server before the first report is round; whoever is about to send it
-// a third time has heard of the others by then.
+// The policy counts only the crashes that this instance knew when the request was submitted. Copies
+// of one request on several instances may each crash a server before the first crash report has
+// reached all instances. By the time an instance is about to send the request a third time, it has
+// received those reports.
 bool Dispatcher::refuseQuarantined(const RequestPtr &request)
 {
     const RequestSpec &spec = request->spec();
     const auto known =
-        m_links.crashes->servers(CrashLedger::fingerprint(spec.customer, spec.service, spec.body));
-    if (known.size() < ServersLostAtMost)
+        m_deps.crashes->servers(CrashLedger::fingerprint(spec.customer, spec.service, spec.body));
+    if (known.size() < MaxServersLost)
         return false;
     execute(policy::Refuse { request->handle(), policy::RefusalReason::Quarantined, {} });
     return true;
@@ -241,30 +245,30 @@
 
 void Dispatcher::execute(const policy::Dispatch &command)
 {
-    const RequestPtr request = m_links.store->find(command.request);
-    const Backend *server = m_links.backends->find(command.server);
+    const RequestPtr request = m_deps.store->find(command.request);
+    const Backend *server = m_deps.backends->find(command.server);
     if (request == nullptr || request->finished() || refuseQuarantined(request))
         return;
     if (server == nullptr) {
-        m_links.policy->post(policy::AttemptEnded {
+        m_deps.policy->post(policy::AttemptEnded {
             command.request, command.attempt, policy::AttemptResult::NotSent, {} });
         return;
     }
-    boost::asio::co_spawn(*m_links.io, runOnServer(request, command.attempt, *server, {}),
+    boost::asio::co_spawn(*m_deps.io, runOnServer(request, command.attempt, *server, {}),
                           boost::asio::detached);
 }
 
 void Dispatcher::execute(const policy::ForwardTo &command)
 {
-    const RequestPtr request = m_links.store->find(command.request);
+    const RequestPtr request = m_deps.store->find(command.request);
     if (request == nullptr || request->finished() || refuseQuarantined(request))
         return;
-    boost::asio::co_spawn(*m_links.io, runOnPeer(request, command), boost::asio::detached);
+    boost::asio::co_spawn(*m_deps.io, runOnPeer(request, command), boost::asio::detached);
 }
 
 void Dispatcher::execute(const policy::Refuse &command)
 {
-    const RequestPtr request = m_links.store->find(command.request);
+    const RequestPtr request = m_deps.store->find(command.request);
     if (request == nullptr || request->finished())
         return;
     FinalAnswer answer = refusal(*request, command);
@@ -274,42 +278,42 @@
 
 void Dispatcher::execute(const policy::CancelAttempt &command)
 {
-    const RequestPtr request = m_links.store->find(command.request);
+    const RequestPtr request = m_deps.store->find(command.request);
     if (request == nullptr)
         return;
-    const auto it = request->cancels().find(command.attempt.value);
-    if (it == request->cancels().end())
+    const auto it = request->cancelCallbacks().find(command.attempt.value);
+    if (it == request->cancelCallbacks().end())
         return;
     const auto cancel = std::move(it->second);
-    request->cancels().erase(it);
+    request->cancelCallbacks().erase(it);
     cancel();
 }
 
 void Dispatcher::execute(const policy::MoveStream &command)
 {
-    const RequestPtr request = m_links.store->find(command.request);
-    const Backend *target = m_links.backends->find(command.target);
+    const RequestPtr request = m_deps.store->find(command.request);
+    const Backend *target = m_deps.backends->find(command.target);
     if (request == nullptr || request->finished())
         return;
     if (target == nullptr) {
-        m_links.policy->post(policy::AttemptEnded {
+        m_deps.policy->post(policy::AttemptEnded {
             command.request, command.attempt, policy::AttemptResult::NotSent, {} });
         return;
     }
     const auto running = m_onServer.find(command.from);
     const Backend *from =
-        running == m_onServer.end() ? nullptr : m_links.backends->find(running->second);
+        running == m_onServer.end() ? nullptr : m_deps.backends->find(running->second);
     logEvent(events::RequestResumed,
              { { "request", request->spec().id }, { "server", target->listed.name } });
-    boost::asio::co_spawn(*m_links.io,
+    boost::asio::co_spawn(*m_deps.io,
                           move(request, command, from == nullptr ? Backend {} : *from, *target),
                           boost::asio::detached);
 }
 
 void Dispatcher::execute(const policy::StartInstance &)
 {
-    // Not carried out yet, nor is the policy given the report that it would decide by: without a
-    // measure of what a busy server can serve it buys too much (docs/decisions).
+    // Not implemented, and the policy does not get the report on which it would base the decision:
+    // without a measure of what a busy server can serve, it would buy too much (docs/decisions).
 }
 
 void Dispatcher::execute(const policy::ReleaseInstance &) { }
@@ -323,11 +327,11 @@
              { { "request", attempt.request->spec().id },
                { "attempt", attempt.id },
                { "result", std::to_string(static_cast<int>(result)) } });
-    attempt.request->cancels().erase(attempt.handle.value);
+    attempt.request->cancelCallbacks().erase(attempt.handle.value);
     m_onServer.erase(attempt.handle);
     if (attempt.cancelled || attempt.request->finished())
         return;
-    m_links.policy->post(
+    m_deps.policy->post(
         policy::AttemptEnded { attempt.request->handle(), attempt.handle, result, retryAfter });
 }
 
--- a/src/snipestall/entry/forward_relay.cpp
+++ b/src/snipestall/entry/forward_relay.cpp
@@ -58,11 +58,11 @@
         event.set_attempt(attempt);
         sink->write(event);
     };
-    bool announced = onlyReleased;
+    bool sendingReported = onlyReleased;
     std::uint64_t next = request->firstOffset();
     while (!*stop) {
-        if (!announced && request->maybeSent()) {
-            announced = true;
+        if (!sendingReported && request->maybeSent()) {
+            sendingReported = true;
             ForwardEvent event;
             event.set_kind(ForwardEvent::SENDING);
             write(std::move(event));
--- a/src/snipestall/entry/forward_relay_test.cpp
+++ b/src/snipestall/entry/forward_relay_test.cpp
@@ -16,7 +16,7 @@
 namespace snipestall::entry {
 namespace {
 
-class KeepingSink final : public peer::ForwardSink
+class RecordingSink final : public peer::ForwardSink
 {
 public:
     void write(const peer::v1::ForwardEvent &event) override { events.push_back(event); }
@@ -26,9 +26,10 @@
     std::vector<peer::v1::ForwardEvent> events;
 };
 
-// A prompt costs a third server: the owner that it was forwarded to lost two to it and named one of
-// them, and the home, whose peers' reports were still under way, ran it once more itself.
-TEST(ForwardRelayTest, TheHomeIsToldOfEveryServerThatDied)
+// Guards against a prompt crashing a third server: the owner to which it was forwarded lost two
+// servers to it but named only one of them, and the home, which had not yet received the crash
+// reports of its peers, ran the prompt once more itself.
+TEST(ForwardRelayTest, TheHomeLearnsOfEveryCrashedServer)
 {
     boost::asio::io_context io;
     RequestSpec spec;
@@ -38,7 +39,7 @@
     FinalAnswer answer;
     answer.outcome = Outcome::Failed;
     request->finish(std::move(answer));
-    const auto sink = std::make_shared<KeepingSink>();
+    const auto sink = std::make_shared<RecordingSink>();
     boost::asio::co_spawn(io,
                           relayToPeer(request, "a-1", sink, std::make_shared<bool>(false), false),
                           boost::asio::detached);
--- a/src/snipestall/entry/local_settings.cpp
+++ b/src/snipestall/entry/local_settings.cpp
@@ -13,9 +13,10 @@
 
 using settings::Fault;
 
-constexpr std::string_view AddressShape = "an address such as 127.0.0.1:8080";
-constexpr std::string_view NameShape = "a name of letters, digits, '-', '_' and '.'";
-constexpr std::string_view HashShape = "64 lower-case hex digits (sha256sum of the key)";
+constexpr std::string_view AllowedAddress = "an address such as 127.0.0.1:8080";
+constexpr std::string_view AllowedName = "a name of letters, digits, '-', '_' and '.'";
+constexpr std::string_view AllowedHash =
+    "64 lower-case hex digits, the output of sha256sum for the key";
 
 struct LevelName
 {
@@ -30,7 +31,7 @@
     { "error", Severity::Error },
 } };
 
-/// Reads one document and gathers faults instead of stopping at the first.
+/// Reads one document and collects all faults instead of stopping at the first.
 class Reader
 {
 public:
@@ -51,9 +52,9 @@
         if (node.IsDefined() && node.IsScalar())
             return node.Scalar();
         if (node.IsDefined())
-            fault(join(path, key), "a list or a map", "plain text");
+            fault(join(path, key), "a list or a map", "a string");
         else if (required)
-            fault(join(path, key), "nothing", "a value: it has no default");
+            fault(join(path, key), "nothing", "a value, because there is no default");
         return {};
     }
 
@@ -63,7 +64,7 @@
         constexpr std::string_view Allowed =
             "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.";
         if (value.find_first_not_of(Allowed) != std::string::npos)
-            fault(join(path, key), value, NameShape);
+            fault(join(path, key), value, AllowedName);
         return value;
     }
 
@@ -75,7 +76,7 @@
             return {};
         const auto endpoint = wire::Endpoint::parse(value);
         if (!endpoint)
-            fault(join(path, key), value, AddressShape);
+            fault(join(path, key), value, AllowedAddress);
         return endpoint.value_or(wire::Endpoint {});
     }
 
@@ -84,12 +85,12 @@
         const YAML::Node node = parent[key];
         if (node.IsDefined() && node.IsMap())
             return node;
-        fault(key, node.IsDefined() ? "no map" : "nothing", "a map");
+        fault(key, node.IsDefined() ? "not a map" : "nothing", "a map");
         return YAML::Node(YAML::NodeType::Map);
     }
 
-    void onlyKeys(const YAML::Node &map, const std::string &path,
-                  const std::set<std::string> &allowed)
+    void checkKeys(const YAML::Node &map, const std::string &path,
+                   const std::set<std::string> &allowed)
     {
         if (!map.IsMap())
             return;
@@ -118,10 +119,10 @@
     if (!seeds.IsDefined())
         return;
     if (!seeds.IsSequence())
-        return reader.fault("peers/seeds", "no list", "a list of instances");
+        return reader.fault("peers/seeds", "not a list", "a list of instances");
     for (std::size_t i = 0; i < seeds.size(); ++i) {
         const std::string path = "peers/seeds/" + std::to_string(i);
-        reader.onlyKeys(seeds[i], path, { "instance", "data_centre", "address" });
+        reader.checkKeys(seeds[i], path, { "instance", "data_centre", "address" });
         Seed seed;
         seed.instance = reader.name(seeds[i], path, "instance");
         seed.dataCentre = reader.name(seeds[i], path, "data_centre");
@@ -135,7 +136,7 @@
     const YAML::Node log = root["log"];
     if (!log.IsDefined())
         return;
-    reader.onlyKeys(log, "log", { "format", "level" });
+    reader.checkKeys(log, "log", { "format", "level" });
     const std::string format = reader.text(log, "log", "format", false);
     if (format == "json")
         local.logFormat = LogFormat::Json;
@@ -156,37 +157,37 @@
 void readOperators(Reader &reader, const YAML::Node &root, LocalSettings &local)
 {
     const YAML::Node operators = reader.section(root, "operators");
-    reader.onlyKeys(operators, "operators", { "listen", "bootstrap_key_sha256" });
+    reader.checkKeys(operators, "operators", { "listen", "bootstrap_key_sha256" });
     local.operators = reader.address(operators, "operators", "listen", true);
     local.bootstrapKeyHash = reader.text(operators, "operators", "bootstrap_key_sha256", false);
     const std::string &hash = local.bootstrapKeyHash;
-    const bool wrong = !hash.empty()
+    const bool malformed = !hash.empty()
         && (hash.size() != 64 || hash.find_first_not_of("0123456789abcdef") != hash.npos);
-    if (wrong)
-        reader.fault("operators/bootstrap_key_sha256", "something else", HashShape);
+    if (malformed)
+        reader.fault("operators/bootstrap_key_sha256", "another value", AllowedHash);
 }
 
 LocalSettings readAll(Reader &reader, const YAML::Node &root)
 {
     LocalSettings local;
-    reader.onlyKeys(
+    reader.checkKeys(
         root, "",
         { "instance", "data_centre", "callers", "operators", "peers", "platform", "log" });
     local.instance = reader.name(root, "", "instance");
     local.dataCentre = reader.name(root, "", "data_centre");
     const YAML::Node callers = reader.section(root, "callers");
-    reader.onlyKeys(callers, "callers", { "listen" });
+    reader.checkKeys(callers, "callers", { "listen" });
     local.callers = reader.address(callers, "callers", "listen", true);
     readOperators(reader, root, local);
     const YAML::Node peers = reader.section(root, "peers");
-    reader.onlyKeys(peers, "peers", { "listen", "advertise", "seeds" });
+    reader.checkKeys(peers, "peers", { "listen", "advertise", "seeds" });
     local.peers = reader.address(peers, "peers", "listen", true);
     local.peersAdvertise = reader.address(peers, "peers", "advertise", false);
     if (local.peersAdvertise.port == 0)
         local.peersAdvertise = local.peers;
     readSeeds(reader, peers, local);
     const YAML::Node platform = reader.section(root, "platform");
-    reader.onlyKeys(platform, "platform", { "address" });
+    reader.checkKeys(platform, "platform", { "address" });
     local.platform = reader.address(platform, "platform", "address", true);
     readLog(reader, root, local);
     return local;
@@ -206,7 +207,7 @@
         return tl::unexpected(std::move(faults));
     }
     if (!root.IsMap()) {
-        reader.fault("", "no map", "a map with instance, data_centre, callers, operators, ...");
+        reader.fault("", "not a map", "a map with instance, data_centre, callers, operators, ...");
         return tl::unexpected(std::move(faults));
     }
     LocalSettings local = readAll(reader, root);
--- a/src/snipestall/entry/model_call.cpp
+++ b/src/snipestall/entry/model_call.cpp
@@ -10,10 +10,10 @@
 
 constexpr std::uint32_t DefaultMaxTokens = 256;
 constexpr std::int64_t LargestMaxTokens = 32768;
-/// Rough, and only used for estimates: the engines count exactly.
+/// Approximate value, used only for estimates; the engines count exactly.
 constexpr std::size_t CharactersPerToken = 4;
 
-tl::unexpected<Error> bad(const std::string &message)
+tl::unexpected<Error> invalidArgument(const std::string &message)
 {
     return fail(ErrorKind::InvalidArgument, message);
 }
@@ -22,13 +22,15 @@
 {
     const json::value *messages = body.if_contains("messages");
     if (messages == nullptr || !messages->is_array() || messages->get_array().empty())
-        return bad("'messages' must be a list of at least one {\"role\", \"content\"}");
+        return invalidArgument(
+            "'messages' must be a list with at least one {\"role\", \"content\"} object");
     std::string prompt;
     for (const json::value &message : messages->get_array()) {
         const json::value *content =
             message.is_object() ? message.get_object().if_contains("content") : nullptr;
         if (content == nullptr || !content->is_string())
-            return bad("each of 'messages' must have a 'content' that is text");
+            return invalidArgument(
+                "each entry of 'messages' must have a 'content' that is a string");
         if (!prompt.empty())
             prompt.push_back('\n');
         prompt += content->get_string();
@@ -40,7 +42,7 @@
 {
     const json::value *prompt = body.if_contains("prompt");
     if (prompt == nullptr || !prompt->is_string())
-        return bad("'prompt' must be text");
+        return invalidArgument("'prompt' must be a string");
     return std::string(prompt->get_string());
 }
 
@@ -51,13 +53,13 @@
     boost::system::error_code syntax;
     const json::value value = json::parse(text, syntax);
     if (syntax || !value.is_object())
-        return bad("the body must be a JSON object");
+        return invalidArgument("the body must be a JSON object");
     const json::object &body = value.get_object();
     ModelCall call;
     call.chat = chat;
     const json::value *model = body.if_contains("model");
     if (model == nullptr || !model->is_string())
-        return bad("'model' must name a model; GET /v1/models lists them");
+        return invalidArgument("'model' must be the name of a model; GET /v1/models lists them");
     call.model = model->get_string();
     auto prompt = chat ? joinMessages(body) : plainPrompt(body);
     if (!prompt)
@@ -67,12 +69,12 @@
     if (const json::value *max = body.if_contains("max_tokens")) {
         const bool whole = max->is_int64();
         if (!whole || max->get_int64() < 1 || max->get_int64() > LargestMaxTokens)
-            return bad("'max_tokens' must be a whole number from 1 to 32768");
+            return invalidArgument("'max_tokens' must be an integer from 1 to 32768");
         call.maxTokens = static_cast<std::uint32_t>(max->get_int64());
     }
     if (const json::value *stream = body.if_contains("stream")) {
         if (!stream->is_bool())
-            return bad("'stream' must be true or false");
+            return invalidArgument("'stream' must be true or false");
         call.stream = stream->get_bool();
     }
     return call;
--- a/src/snipestall/entry/model_call.hpp
+++ b/src/snipestall/entry/model_call.hpp
@@ -8,7 +8,7 @@
 
 namespace snipestall::entry {
 
-/// Body of POST /v1/chat/completions or /v1/completions, as far as this project uses it.
+/// The fields of the body of POST /v1/chat/completions or /v1/completions that snipestall uses.
 struct ModelCall
 {
     std::string model;
@@ -17,8 +17,10 @@
     bool stream = false;
     bool chat = false;
 
-    /// InvalidArgument with the field and what is allowed.
+    /// Returns InvalidArgument if a field is invalid; the message names the field and the valid
+    /// values.
     static Result<ModelCall> parse(std::string_view body, bool chat);
+    /// Estimated number of tokens of the prompt.
     [[nodiscard]] std::uint32_t promptTokens() const;
 };
 
--- a/src/snipestall/entry/node.cpp
+++ b/src/snipestall/entry/node.cpp
@@ -26,17 +26,19 @@
 
 namespace {
 
-/// Three missed heartbeats: long enough for a pause of the scheduler, short against a caller's
-/// patience.
-constexpr milliseconds PeerTerm { 3000 };
+/// Time without heartbeats after which a peer is suspected. Three missed heartbeats: long enough to
+/// tolerate a pause of the scheduler, and short compared to the time that a caller is willing to
+/// wait.
+constexpr milliseconds PeerTimeout { 3000 };
 constexpr milliseconds SettingsPollInterval { 1000 };
-constexpr milliseconds SettingsBackstopInterval { 30000 };
-constexpr milliseconds RetryInterval { 500 };
-constexpr milliseconds SecondInterval { 1000 };
-/// Instances of a data centre that read the settings head each second; two, so that one may die.
+constexpr milliseconds SettingsRereadInterval { 30000 };
+constexpr milliseconds RegistrationRetryInterval { 500 };
+constexpr milliseconds HousekeepingInterval { 1000 };
+/// Number of instances of a data centre that read the settings head every second; two, so that one
+/// may fail.
 constexpr std::size_t SettingsPollers = 2;
-/// Of the several hundred writes a second that the table takes, what all instances together may
-/// spend on claims.
+/// Number of writes per second that all instances together may use for claims, out of the several
+/// hundred that the table supports.
 constexpr double ClaimWritesPerSecond = 200.0;
 
 std::uint64_t newIncarnation()
@@ -80,36 +82,38 @@
 
 } // namespace
 
-Node::State::State(boost::asio::io_context &context, LocalSettings settings, std::uint64_t number)
+Node::State::State(boost::asio::io_context &context, LocalSettings settings,
+                   std::uint64_t incarnationNumber)
     : io(context)
     , local(std::move(settings))
-    , incarnation(number)
+    , incarnation(incarnationNumber)
     , http(context)
     , platform(platform::HttpPlatform::create(context, local.platform, clock))
     , store(*platform, clock)
     , keeper(local.dataCentre)
-    , members(local.instance, local.dataCentre, PeerTerm)
-    , dispatcher(local.instance, number)
+    , members(local.instance, local.dataCentre, PeerTimeout)
+    , dispatcher(local.instance, incarnationNumber)
     , policy(context, policy::World::create(local.dataCentre, stableHash(local.instance)),
              dispatcher)
     , backends(context, *platform, http, members, policy)
     , network(
-          context, members, keeper, number,
+          context, members, keeper, incarnationNumber,
           { [this] { return ownPools(); }, [this] { return backends.leavingServers(); },
             [this](const peer::LeavingServer &server) {
                 backends.markLeaving(server.server, server.incarnation, milliseconds(0));
             },
-            [this] { return crashes.recent(); },
-            [this](const peer::CrashReport &report) { crashes.note(report, steady_clock::now()); },
-            [this](const std::string &name) { tellPolicyOfPeer(name); } },
+            [this] { return crashes.recentReports(); },
+            [this](const peer::CrashReport &report) { crashes.add(report, steady_clock::now()); },
+            [this](const std::string &name) { reportPeerToPolicy(name); } },
           networkOptions(local))
     , trials(context, members, network, crashes)
-    , records(
-          context, members, network, number,
-          [this](const peer::v1::RequestRecord &record, bool released) { adopt(record, released); })
+    , records(context, members, network, incarnationNumber,
+              [this](const peer::v1::RequestRecord &record, bool released) {
+                  takeOver(record, released);
+              })
     , claims(peer::ClaimKeeper::create(context, *platform, clock, local.instance))
     , steward(peer::Steward::create(context, *platform, clock, local.dataCentre, local.instance,
-                                    number))
+                                    incarnationNumber))
     , maintenance(peer::TableMaintenance::create(
           context, *claims, store, [this] { return steward->mayOrder().has_value(); }))
     , callers({ &context, &requests, &dispatcher, &keeper, &members, &network, &records },
@@ -124,7 +128,7 @@
                          &records, &crashes, &trials });
     keeper.subscribe([this](std::shared_ptr<const settings::EffectiveSettings> effective) {
         policy.post(policy::SettingsChanged { std::move(effective) });
-        // Newer settings come from the table or from a peer: either confirms them.
+        // New settings come from the table or from a peer; either source confirms them.
         callers.setReady();
     });
     members.subscribe([this](const peer::Member &member, peer::MemberState before) {
@@ -147,7 +151,7 @@
     maintenance->start();
     boost::asio::co_spawn(io, registerLoop(), boost::asio::detached);
     boost::asio::co_spawn(io, settingsLoop(), boost::asio::detached);
-    boost::asio::co_spawn(io, secondLoop(), boost::asio::detached);
+    boost::asio::co_spawn(io, housekeepingLoop(), boost::asio::detached);
 }
 
 void Node::State::onMemberChange(const peer::Member &member, peer::MemberState)
@@ -162,30 +166,32 @@
     }
 }
 
-// A request stays in its data centre, unless that has no backend server of its service: then the
-// linked instances of other data centres are offered to the policy for that service alone.
-void Node::State::tellPolicyOfPeer(const std::string &name)
+// A request stays in its data centre unless the data centre has no backend server of its service.
+// Then the linked instances of other data centres are reported to the policy, for that service
+// only.
+void Node::State::reportPeerToPolicy(const std::string &name)
 {
     const peer::Member *member = members.find(name);
     if (member == nullptr || member->state != peer::MemberState::Live)
         return;
-    const bool near = member->dataCentre == local.dataCentre;
+    const bool sameDataCentre = member->dataCentre == local.dataCentre;
     policy::PeerSummary summary;
     summary.peer = handleOf(name);
     summary.name = name;
     summary.dataCentre = member->dataCentre;
     for (const peer::PoolLoad &load : member->pools) {
-        if (near || !servedHere(load.service))
+        if (sameDataCentre || !servedInDataCentre(load.service))
             summary.pools.push_back(toPolicy(load));
     }
     policy.post(std::move(summary));
 }
 
-// By what answers, not by the platform's list: that goes on naming servers that have crashed, and
-// their callers would wait for them beside another data centre's idle ones.
-bool Node::State::servedHere(const std::string &service) const
+// This is decided by the servers that respond, not by the platform's list. The list still contains
+// servers that have crashed, and callers would wait for those while servers of another data centre
+// are idle.
+bool Node::State::servedInDataCentre(const std::string &service) const
 {
-    if (backends.hasUp(service))
+    if (backends.hasServerUp(service))
         return true;
     const std::vector<std::string> peers = members.livePeers();
     return std::ranges::any_of(peers, [&](const std::string &name) {
@@ -229,13 +235,13 @@
     return loads;
 }
 
-double Node::State::writeShare() const
+double Node::State::claimWriteLimit() const
 {
     std::set<std::string> dataCentres { local.dataCentre };
     for (const auto &[name, member] : members.members())
         dataCentres.insert(member.dataCentre);
-    const auto here = static_cast<double>(members.livePeers().size() + 1);
-    return ClaimWritesPerSecond / (here * static_cast<double>(dataCentres.size()));
+    const auto localInstances = static_cast<double>(members.livePeers().size() + 1);
+    return ClaimWritesPerSecond / (localInstances * static_cast<double>(dataCentres.size()));
 }
 
 bool Node::State::pollsSettings() const
@@ -245,16 +251,16 @@
     return std::find(order.begin(), end, local.instance) != end;
 }
 
-// Two instances of a data centre read the head each second; the others hear of a newer version in
-// the next heartbeat and fetch it from the peer. All read it now and then, so that a fault of the
-// heartbeats can't keep an instance on old settings.
+// Two instances of a data centre read the head every second. The others learn of a newer version
+// from the next heartbeat and fetch it from the peer. In addition, every instance reads the head at
+// a longer interval, so that a fault in the heartbeats cannot keep an instance on old settings.
 wire::Task<void> Node::State::settingsLoop()
 {
     const auto self = shared_from_this();
     while (!stopped) {
         const auto now = steady_clock::now();
         const bool due = keeper.version() == 0 || pollsSettings()
-            || now - lastSettingsRead > SettingsBackstopInterval;
+            || now - lastSettingsRead > SettingsRereadInterval;
         if (due) {
             const auto version = co_await store.headVersion();
             if (version)
@@ -269,7 +275,8 @@
     }
 }
 
-// On the platform's machines the cloud lists its instances itself; the stand-in must be told.
+// In the cloud the platform lists its instances itself; the stand-in of the platform requires each
+// instance to register.
 wire::Task<void> Node::State::registerLoop()
 {
     const auto self = shared_from_this();
@@ -291,19 +298,19 @@
         const bool done = answer && answer->status < 300;
         if (done)
             co_return;
-        co_await wire::sleepFor(RetryInterval);
+        co_await wire::sleepFor(RegistrationRetryInterval);
     }
 }
 
-wire::Task<void> Node::State::secondLoop()
+wire::Task<void> Node::State::housekeepingLoop()
 {
     const auto self = shared_from_this();
     while (!stopped) {
         crashes.expire(steady_clock::now());
-        claims->limitWrites(writeShare());
-        for (const RequestPtr &gone : requests.expire(steady_clock::now()))
-            records.forget(gone->spec().id);
-        co_await wire::sleepFor(SecondInterval);
+        claims->limitWrites(claimWriteLimit());
+        for (const RequestPtr &expired : requests.expire(steady_clock::now()))
+            records.forget(expired->spec().id);
+        co_await wire::sleepFor(HousekeepingInterval);
     }
 }
 
--- a/src/snipestall/entry/node_drain.cpp
+++ b/src/snipestall/entry/node_drain.cpp
@@ -17,25 +17,28 @@
 
 namespace {
 
+/// Time between two checks whether the drain is complete.
 constexpr milliseconds DrainInterval { 50 };
-/// Left of a notice when the rest is handed over: time for the call and for callers to be told.
+/// Remaining part of the notice when the open requests are handed over: time for the call and for
+/// telling the callers to reconnect.
 constexpr milliseconds HandOverMargin { 2000 };
-/// The balancer and peers go on sending for a moment; they are answered until then.
-constexpr milliseconds LingerAfterWork { 300 };
+/// The load balancer and peers continue to send requests for a moment; these are answered until
+/// then.
+constexpr milliseconds LingerTime { 300 };
 
 } // namespace
 
-// The order matters. Peers are told first, so that they stop forwarding here; new callers are
-// refused as not run; what is in progress goes on, since ending it is what a planned stop must
-// not do. A second signal during this changes nothing.
+// The order matters. Peers are notified first, so that they stop forwarding requests here. New
+// requests are refused as not run. Requests in progress continue, because a planned stop must not
+// end them. A second signal during the drain changes nothing.
 void Node::State::beginDrain(Notice notice, std::function<void()> done)
 {
     if (notice) {
-        const auto lead = std::min(HandOverMargin, *notice / 2);
-        handOverAt = steady_clock::now() + *notice - lead;
+        const auto margin = std::min(HandOverMargin, *notice / 2);
+        handOverAt = steady_clock::now() + *notice - margin;
     }
     if (done)
-        drained = std::move(done);
+        onDrained = std::move(done);
     if (std::exchange(draining, true))
         return;
     logEvent(events::ProcessStopping,
@@ -57,41 +60,43 @@
 wire::Task<void> Node::State::drainLoop()
 {
     const auto self = shared_from_this();
-    bool handed = false;
+    bool handedOver = false;
     while (!idle()) {
         const bool due = handOverAt && steady_clock::now() >= *handOverAt;
-        if (due && !std::exchange(handed, true))
-            co_await handOverRest();
+        if (due && !std::exchange(handedOver, true))
+            co_await handOverRemaining();
         co_await wire::sleepFor(DrainInterval);
     }
-    co_await wire::sleepFor(LingerAfterWork);
+    co_await wire::sleepFor(LingerTime);
     callerServer->stopAccepting();
     co_await steward->stop();
     stopped = true;
     logEvent(events::ProcessStopped, {});
-    if (drained)
-        drained();
+    if (onDrained)
+        onDrained();
 }
 
-/// What the notice leaves no time for goes on elsewhere, and its callers are told to come back.
-wire::Task<void> Node::State::handOverRest()
+/// Hands the requests that cannot end within the notice over to other instances. Their callers are
+/// asked to reconnect.
+wire::Task<void> Node::State::handOverRemaining()
 {
     std::vector<RequestPtr> open;
     for (const RequestPtr &request : requests.unfinished()) {
-        // A non-idempotent request that may have left belongs to the attempt that is under way.
-        const bool bound = !request->spec().idempotent && request->maybeSent();
-        if (!request->forwarded && !bound)
+        // A non-idempotent request that may have been sent stays with its running attempt.
+        const bool mustStayHere = !request->spec().idempotent && request->maybeSent();
+        if (!request->forwarded && !mustStayHere)
             open.push_back(request);
     }
     logEvent(events::HandoverStarted, { { "requests", std::to_string(open.size()) } });
-    // From here on this instance may not start an attempt of theirs: the receiver will.
+    // From here on only the receiver may start attempts of these requests.
     for (const RequestPtr &request : open)
         dispatcher.suspend(request);
     const std::vector<std::shared_ptr<peer::RecordSource>> sources(open.begin(), open.end());
     const std::vector<std::string> taken = co_await records.handOver(sources);
     for (const RequestPtr &request : open) {
-        const bool gone = std::find(taken.begin(), taken.end(), request->spec().id) != taken.end();
-        if (gone)
+        const bool takenOver =
+            std::find(taken.begin(), taken.end(), request->spec().id) != taken.end();
+        if (takenOver)
             dispatcher.release(request);
         else
             dispatcher.resume(request);
--- a/src/snipestall/entry/node_peers.cpp
+++ b/src/snipestall/entry/node_peers.cpp
@@ -61,13 +61,13 @@
         if (running == nullptr)
             return;
         running->changed().notifyAll();
-        // The home is lost or wants no more. What may run only once is not broken off: its
-        // outcome is still to be stored for the caller's repeat.
-        const bool bound = !running->spec().idempotent && running->maybeSent();
-        if (!bound)
+        // The home is lost or no longer needs the answer. A request that may run only once is not
+        // cancelled, because its outcome must still be stored for a repeat by the caller.
+        const bool mustStayHere = !running->spec().idempotent && running->maybeSent();
+        if (!mustStayHere)
             dispatcher.cancel(running);
     });
-    dispatcher.arrive(request, false);
+    dispatcher.handleArrival(request, false);
     boost::asio::co_spawn(io, relayToPeer(request, call.attempt(), std::move(sink), stop, false),
                           boost::asio::detached);
 }
@@ -98,10 +98,11 @@
                           boost::asio::detached);
 }
 
-// An idempotent request is run on from its copy: twice at worst, which costs tokens. One that may
-// run only once is run here only if its home released it and says that no byte has left, or if its
-// key is claimed: then the claim row decides, whatever the former home does when it wakes.
-void Node::State::adopt(const v1::RequestRecord &record, bool released)
+// An idempotent request is continued from its replica; at worst it runs twice, which costs tokens.
+// A request that may run only once is run here only if its record says that no byte was sent, and
+// if in addition its home released it or it has an idempotency key. With a key, the stored claim
+// decides who may send it, even if the former home resumes later.
+void Node::State::takeOver(const v1::RequestRecord &record, bool released)
 {
     if (requests.find(record.request()) != nullptr)
         return;
@@ -114,18 +115,20 @@
         return;
     }
     const RequestSpec &spec = request->spec();
-    const bool keyed = !spec.idempotencyKey.empty();
+    const bool hasKey = !spec.idempotencyKey.empty();
     const bool once = !spec.idempotent;
-    const bool mayRun = !once || (!record.maybe_sent() && (released || keyed));
+    const bool mayRun = !once || (!record.maybe_sent() && (released || hasKey));
     if (mayRun) {
-        dispatcher.arrive(request, true);
+        dispatcher.handleArrival(request, true);
         return;
     }
     requests.add(request);
-    if (keyed)
+    if (hasKey)
         dispatcher.awaitStoredOutcome(request);
     else
-        dispatcher.finish(request, outcomeUnknown("its instance was lost while it may have run"));
+        dispatcher.finish(
+            request,
+            outcomeUnknown("the instance of the request was lost, and the request may have run"));
 }
 
 } // namespace snipestall::entry
--- a/src/snipestall/entry/node_state.hpp
+++ b/src/snipestall/entry/node_state.hpp
@@ -23,7 +23,7 @@
 #include "snipestall/wire/http_client.hpp"
 #include "snipestall/wire/http_server.hpp"
 
-#include "trial_gate.hpp"
+#include "trial_coordinator.hpp"
 
 #include <boost/asio/io_context.hpp>
 
@@ -36,14 +36,15 @@
 
 namespace snipestall::entry {
 
-/// The parts of a node, in the order in which they depend on each other, and the loops that tie
-/// them together.
+/// The components of a node, in the order in which they depend on each other, and the periodic
+/// tasks that connect them.
 struct Node::State final : public peer::PeerHandler,
                            public std::enable_shared_from_this<Node::State>
 {
     using Notice = std::optional<std::chrono::milliseconds>;
 
-    State(boost::asio::io_context &context, LocalSettings settings, std::uint64_t number);
+    State(boost::asio::io_context &context, LocalSettings settings,
+          std::uint64_t incarnationNumber);
     ~State() override;
 
     void connect();
@@ -61,24 +62,29 @@
     void onFindRequest(const peer::v1::FindRequestRequest &request,
                        std::shared_ptr<peer::ForwardSink> sink) override;
 
-    /// A request whose home is gone, or that was handed over: it lives here from now on.
-    void adopt(const peer::v1::RequestRecord &record, bool released);
+    /// Takes over a request whose home is lost or has handed it over; this instance is its home
+    /// from now on. `released` means that the former home handed it over.
+    void takeOver(const peer::v1::RequestRecord &record, bool released);
     void onMemberChange(const peer::Member &member, peer::MemberState before);
-    void tellPolicyOfPeer(const std::string &name);
-    /// Whether a live instance of this data centre owns a backend server of the service.
-    [[nodiscard]] bool servedHere(const std::string &service) const;
+    /// Reports the load of a peer to the policy.
+    void reportPeerToPolicy(const std::string &name);
+    /// Returns whether a live instance of this data centre owns a backend server of the service.
+    [[nodiscard]] bool servedInDataCentre(const std::string &service) const;
     policy::PeerHandle handleOf(const std::string &name);
+    /// Returns whether this instance is one of those that read the settings head every second.
     [[nodiscard]] bool pollsSettings() const;
-    /// This instance's share of the table's writes for claims.
-    [[nodiscard]] double writeShare() const;
+    /// Number of claim writes per second that this instance may make.
+    [[nodiscard]] double claimWriteLimit() const;
     [[nodiscard]] std::vector<peer::PoolLoad> ownPools() const;
     [[nodiscard]] bool idle() const;
 
+    /// Registers this instance with the platform.
     wire::Task<void> registerLoop();
     wire::Task<void> settingsLoop();
-    wire::Task<void> secondLoop();
+    /// Removes expired state once a second.
+    wire::Task<void> housekeepingLoop();
     wire::Task<void> drainLoop();
-    wire::Task<void> handOverRest();
+    wire::Task<void> handOverRemaining();
 
     boost::asio::io_context &io;
     LocalSettings local;
@@ -94,7 +100,7 @@
     PolicyLoop policy;
     BackendDirectory backends;
     peer::PeerNetwork network;
-    TrialGate trials;
+    TrialCoordinator trials;
     peer::RecordKeeper records;
     std::unique_ptr<peer::ClaimKeeper> claims;
     std::unique_ptr<peer::Steward> steward;
@@ -108,8 +114,10 @@
     std::uint64_t nextPeer = 0;
     bool draining = false;
     bool stopped = false;
+    /// When the remaining requests are handed over; empty if the drain has no notice.
     std::optional<std::chrono::steady_clock::time_point> handOverAt;
-    std::function<void()> drained;
+    /// Called when the drain is complete.
+    std::function<void()> onDrained;
     std::chrono::steady_clock::time_point lastSettingsRead;
 };
 
--- a/src/snipestall/entry/outcome_unknown.hpp
+++ b/src/snipestall/entry/outcome_unknown.hpp
@@ -6,7 +6,7 @@
 
 namespace snipestall::entry {
 
-/// The answer to a request that may have run and is not sent again.
+/// Builds the final answer of a request that may have run and is not sent again.
 FinalAnswer outcomeUnknown(std::string reason);
 
 } // namespace snipestall::entry
--- a/src/snipestall/entry/refusal.cpp
+++ b/src/snipestall/entry/refusal.cpp
@@ -11,43 +11,45 @@
 
 namespace {
 
-/// For refusals to which the policy names no time, such as that of an expired request.
-constexpr std::chrono::milliseconds LeastRetryAfter { 1000 };
+/// Used for refusals for which the policy gives no time, such as that of an expired request.
+constexpr std::chrono::milliseconds MinRetryAfter { 1000 };
 
 std::string_view explain(policy::RefusalReason reason)
 {
     using policy::RefusalReason;
     switch (reason) {
     case RefusalReason::UnknownService:
-        return "this data centre has no such service for you";
+        return "the service does not exist in this data centre or is not available to this "
+               "customer";
     case RefusalReason::RateLimit:
-        return "more requests a second than your limit";
+        return "the limit of requests per second is exceeded";
     case RefusalReason::TokenLimit:
-        return "more tokens a second than your limit";
+        return "the limit of tokens per second is exceeded";
     case RefusalReason::ConcurrencyLimit:
-        return "more requests at once than your limit";
+        return "the limit of concurrent requests is exceeded";
     case RefusalReason::Late:
-        return "it could not be answered before its deadline";
+        return "the request cannot be completed before its deadline";
     case RefusalReason::QueueFull:
-        return "too much waits already";
+        return "the queue is full";
     case RefusalReason::NoCapacity:
-        return "no backend server can take it now";
+        return "no backend server has capacity for the request now";
     case RefusalReason::Leaving:
-        return "this instance is leaving";
+        return "this instance is shutting down";
     case RefusalReason::RetriesExhausted:
-        return "its attempts failed";
+        return "all attempts of the request failed";
     case RefusalReason::Quarantined:
-        return "it took down two backend servers; change it before you send it again";
+        return "the request crashed two backend servers; change it before you send it again";
     case RefusalReason::Expired:
-        return "its deadline passed";
+        return "the deadline of the request has passed";
     }
-    return "no backend server can take it now";
+    return "no backend server has capacity for the request now";
 }
 
-// Failure: a stream that lost its server is forwarded to go on, and the peer has no room for it.
-// Told that it failed there, since bytes had left the home before, the home takes the peer for one
-// that lost an answer: it waits out a backoff, offers the stream to the same peer again, and has no
-// offer left when another has room. A peer that sent nothing declines, whatever was sent before it.
+// A stream that lost its server may be forwarded to a peer that has no capacity for it. If the peer
+// answered `failed` because its home had sent bytes earlier, the home would conclude that the peer
+// had lost an answer: it would wait for a backoff, forward the stream to the same peer again, and
+// have no forwards left when another peer has capacity. Therefore a peer that has sent nothing
+// answers `not run`, even if bytes were sent elsewhere before.
 bool mayHaveRun(const Request &request)
 {
     return request.forwarded ? request.sentHere() : request.maybeSent();
@@ -66,9 +68,9 @@
         answer.retryAfter = {};
     if (!mayHaveRun(request)) {
         answer.outcome = Outcome::NotRun;
-        const bool comeBack = !quarantined && answer.retryAfter.count() == 0;
-        if (comeBack && command.reason != policy::RefusalReason::UnknownService)
-            answer.retryAfter = LeastRetryAfter;
+        const bool retryable = !quarantined && answer.retryAfter.count() == 0;
+        if (retryable && command.reason != policy::RefusalReason::UnknownService)
+            answer.retryAfter = MinRetryAfter;
         const bool limit = command.reason == policy::RefusalReason::RateLimit
             || command.reason == policy::RefusalReason::TokenLimit
             || command.reason == policy::RefusalReason::ConcurrencyLimit;
--- a/src/snipestall/entry/refusal.hpp
+++ b/src/snipestall/entry/refusal.hpp
@@ -10,8 +10,9 @@
 
 class Request;
 
-/// The final answer that a refusal of the policy means, by what is known of the request's attempts:
-/// to the caller, or, of a request that a peer forwarded here, to that peer.
+/// Builds the final answer for a refusal by the policy, depending on whether an attempt of the
+/// request may have run. The answer is for the caller, or for the peer if a peer forwarded the
+/// request.
 FinalAnswer refusal(const Request &request, const policy::Refuse &command);
 
 } // namespace snipestall::entry
--- a/src/snipestall/entry/refusal_test.cpp
+++ b/src/snipestall/entry/refusal_test.cpp
@@ -15,7 +15,7 @@
 class RefusalTest : public testing::Test
 {
 protected:
-    RequestPtr forwardedAfterAnAttemptAtHome()
+    RequestPtr forwardedAfterAttemptAtHome()
     {
         peer::v1::RequestRecord record;
         record.set_request("samsun-1~1");
@@ -31,22 +31,23 @@
     policy::Refuse m_noCapacity { { 1 }, policy::RefusalReason::NoCapacity, {} };
 };
 
-// A review stops in the middle and never goes on. Its server was reclaimed, its home forwarded it
-// with the offset reached, and the peer, which had no room and sent nothing, answered `failed`
-// because bytes had left the home: three such answers within 0.2 s used up all offers of the
-// request (508 with result 3 three times from one peer, then no line of it any more).
-TEST_F(RefusalTest, APeerThatSentNothingDeclinesWhateverItsHomeSent)
+// Guards against a stream that stops in the middle and never continues. Its server was reclaimed,
+// its home forwarded it with the offset reached, and the peer, which had no capacity and sent
+// nothing, answered `failed` because the home had sent bytes. Three such answers within 0.2 s used
+// up all forwards of the request (request 508 ended three attempts on one peer with result 3 and
+// then had no further log line).
+TEST_F(RefusalTest, APeerThatSentNothingAnswersNotRun)
 {
-    const RequestPtr request = forwardedAfterAnAttemptAtHome();
+    const RequestPtr request = forwardedAfterAttemptAtHome();
     EXPECT_EQ(refusal(*request, m_noCapacity).outcome, Outcome::NotRun);
     request->markSent();
     EXPECT_EQ(refusal(*request, m_noCapacity).outcome, Outcome::Failed);
 }
 
-// What the caller is told counts every attempt: "not run" must be true of all of them.
-TEST_F(RefusalTest, TheCallerIsToldOfTheHomesOwnAttempts)
+// The answer to the caller covers every attempt: "not run" must be true of all of them.
+TEST_F(RefusalTest, TheAnswerToTheCallerCoversTheAttemptsOfTheHome)
 {
-    const RequestPtr request = forwardedAfterAnAttemptAtHome();
+    const RequestPtr request = forwardedAfterAttemptAtHome();
     request->forwarded = false;
     EXPECT_EQ(refusal(*request, m_noCapacity).outcome, Outcome::Failed);
 }
--- a/src/snipestall/entry/request.cpp
+++ b/src/snipestall/entry/request.cpp
@@ -44,7 +44,7 @@
     return spec;
 }
 
-void putSpec(const RequestSpec &spec, peer::v1::RequestRecord &record)
+void writeSpec(const RequestSpec &spec, peer::v1::RequestRecord &record)
 {
     record.set_customer(spec.customer);
     record.set_service(spec.service);
@@ -111,7 +111,7 @@
     if (offset < nextOffset())
         return true;
     m_pieces.push_back(std::move(piece));
-    noteProgress();
+    reportProgress();
     m_changed.notifyAll();
     return true;
 }
@@ -123,7 +123,7 @@
         m_observer->arrived(m_spec);
 }
 
-void Request::noteProgress()
+void Request::reportProgress()
 {
     const auto now = steady_clock::now();
     if (m_observer && m_lastProgress) {
@@ -140,10 +140,10 @@
 {
     if (finished())
         return false;
-    m_final = std::move(answer);
+    m_finalAnswer = std::move(answer);
     finishedAt = steady_clock::now();
     if (m_observer)
-        m_observer->ended(m_spec, *m_final);
+        m_observer->ended(m_spec, *m_finalAnswer);
     m_changed.notifyAll();
     return true;
 }
@@ -180,21 +180,21 @@
     record.set_attempts(attempts);
     record.set_maybe_sent(m_maybeSent);
     if (whole)
-        putSpec(m_spec, record);
+        writeSpec(m_spec, record);
     const std::uint64_t first = whole ? m_firstOffset : std::max(from, m_firstOffset);
     record.set_output_offset(std::min(first, nextOffset()));
     for (std::uint64_t offset = first; offset < nextOffset(); ++offset)
         record.add_output(piece(offset));
     for (const std::string &server : m_crashedServers)
         record.add_crashed_servers(server);
-    if (m_final) {
+    if (m_finalAnswer) {
         record.set_finished(true);
-        record.set_status(static_cast<std::uint32_t>(m_final->status));
-        record.set_outcome(std::string(toString(m_final->outcome)));
-        record.set_final_body(m_final->body);
-        record.set_final_content_type(m_final->contentType);
-        record.set_reason(m_final->reason);
-        record.set_code(m_final->code);
+        record.set_status(static_cast<std::uint32_t>(m_finalAnswer->status));
+        record.set_outcome(std::string(toString(m_finalAnswer->outcome)));
+        record.set_final_body(m_finalAnswer->body);
+        record.set_final_content_type(m_finalAnswer->contentType);
+        record.set_reason(m_finalAnswer->reason);
+        record.set_code(m_finalAnswer->code);
     }
     return record;
 }
--- a/src/snipestall/entry/request_store.cpp
+++ b/src/snipestall/entry/request_store.cpp
@@ -27,13 +27,14 @@
 
 policy::RequestHandle RequestStore::nextHandle()
 {
-    return { ++m_next };
+    return { ++m_nextHandle };
 }
 
 void RequestStore::add(const RequestPtr &request)
 {
     m_byHandle[request->handle()] = request;
-    // What runs here for another home is not this instance's to answer for.
+    // Requests that run here for another home are only found by handle; their home answers the
+    // caller.
     if (request->forwarded)
         return;
     request->observe(m_observer);
@@ -88,18 +89,18 @@
         return a->finishedAt != b->finishedAt ? a->finishedAt < b->finishedAt
                                               : a->handle() < b->handle();
     });
-    std::vector<RequestPtr> gone;
+    std::vector<RequestPtr> removed;
     for (const RequestPtr &request : finished) {
-        const bool old = now - request->finishedAt > m_options.keepFinished;
+        const bool old = now - request->finishedAt > m_options.finishedRetention;
         const bool drop = (old || bytes > m_options.maxFinishedBytes || request->forwarded)
             && request->readers == 0;
         if (!drop)
             continue;
         bytes -= std::min(bytes, bytesOf(*request));
         remove(request);
-        gone.push_back(request);
+        removed.push_back(request);
     }
-    return gone;
+    return removed;
 }
 
 int RequestStore::readers() const
--- a/src/snipestall/entry/request_test.cpp
+++ b/src/snipestall/entry/request_test.cpp
@@ -23,8 +23,8 @@
     boost::asio::io_context m_io;
 };
 
-// An attempt that was given up answers beside its successor. A caller would read a token twice, or
-// miss one, if pieces were taken in the order in which they come.
+// An abandoned attempt may still produce output beside its successor. If pieces were appended in
+// the order of arrival, a caller would read a token twice or miss one.
 TEST_F(RequestTest, OnlyTheNextOffsetIsAppended)
 {
     const RequestPtr request = make();
@@ -47,21 +47,22 @@
     EXPECT_EQ(request->finalAnswer()->outcome, Outcome::Completed);
 }
 
-// A forward is under way and its owner is frozen: the deadline passes before it has said whether
-// it sent anything. Told "not run", the caller would send again what then runs twice.
+// The owner of a running forward freezes, and the deadline passes before it has reported whether it
+// sent anything. If the answer were "not run", the caller would send the request again and it would
+// run twice.
 TEST_F(RequestTest, AForwardUnderWayMayHaveBeenSent)
 {
     const RequestPtr request = make();
     EXPECT_FALSE(request->maybeSent());
-    ++request->uncertain;
+    ++request->unconfirmedForwards;
     EXPECT_TRUE(request->maybeSent());
-    --request->uncertain;
+    --request->unconfirmedForwards;
     EXPECT_FALSE(request->maybeSent());
     request->markSent();
     EXPECT_TRUE(request->maybeSent());
 }
 
-TEST_F(RequestTest, ARecordCarriesItToAnotherInstanceWhole)
+TEST_F(RequestTest, ARecordTransfersTheWholeState)
 {
     const RequestPtr request = make();
     request->append(0, "a");
--- a/src/snipestall/entry/server_probe.cpp
+++ b/src/snipestall/entry/server_probe.cpp
@@ -12,21 +12,22 @@
 
 using std::chrono::milliseconds;
 
-/// A server that lives answers within some round trips.
+/// A running server responds within a few round trips.
 constexpr milliseconds ProbeTimeout { 300 };
-/// Between two probes; the end of a process takes some tens of milliseconds on a busy machine.
-constexpr milliseconds ProbePause { 20 };
-constexpr int MostProbes = 15;
+/// Time between two probes. The termination of a process takes some tens of milliseconds on a busy
+/// machine.
+constexpr milliseconds ProbeInterval { 20 };
+constexpr int MaxProbes = 15;
 
 } // namespace
 
-wire::Task<bool> hasEnded(wire::HttpClient &http, wire::Endpoint server)
+wire::Task<bool> hasTerminated(wire::HttpClient &http, wire::Endpoint server)
 {
     wire::HttpCallOptions options;
     options.connectTimeout = ProbeTimeout;
     options.idleTimeout = ProbeTimeout;
     options.freshConnection = true;
-    for (int i = 0; i < MostProbes; ++i) {
+    for (int i = 0; i < MaxProbes; ++i) {
         wire::HttpRequest probe;
         probe.target = "/load";
         const auto answer = co_await http.fetch(server, std::move(probe), options);
@@ -34,7 +35,7 @@
             co_return false;
         if (answer.error().kind == ErrorKind::Unavailable)
             co_return true;
-        co_await wire::sleepFor(ProbePause);
+        co_await wire::sleepFor(ProbeInterval);
     }
     co_return false;
 }
--- a/src/snipestall/entry/server_probe.hpp
+++ b/src/snipestall/entry/server_probe.hpp
@@ -9,13 +9,15 @@
 
 namespace snipestall::entry {
 
-/// Whether a backend server whose connection has just broken has ended: it refuses connections.
+/// Returns whether a backend server whose connection has just broken has terminated, that is,
+/// whether it refuses connections.
 ///
-/// Failure: a process that ends closes one socket after the other, and on a busy machine a new
-/// connection may still be taken and broken off in between. Judged by that one, the server's death
-/// is not counted against the request that caused it, and the request takes down one server more
-/// than it may. So a probe that breaks off says nothing and is repeated; only a refusal or an
-/// answer decides. A server that says nothing at all is taken for slow, not for ended.
-wire::Task<bool> hasEnded(wire::HttpClient &http, wire::Endpoint server);
+/// A terminating process closes its sockets one after the other, and on a busy machine it may still
+/// accept a new connection and then break it off. If such a connection counted as a sign of life,
+/// the crash would not be counted against the request that caused it, and the request would crash
+/// one server more than allowed. Therefore a probe whose connection breaks off is inconclusive and
+/// is repeated; only a refused connection or a response decides. A server that does not respond in
+/// time counts as slow, not as terminated.
+wire::Task<bool> hasTerminated(wire::HttpClient &http, wire::Endpoint server);
 
 } // namespace snipestall::entry
--- a/src/snipestall/entry/server_probe_test.cpp
+++ b/src/snipestall/entry/server_probe_test.cpp
@@ -20,8 +20,9 @@
 class ServerProbeTest : public testing::Test
 {
 protected:
-    /// Takes connections and breaks each off; after so many refuses all.
-    wire::Task<void> endAfter(int connections)
+    /// Accepts the given number of connections and closes each at once, then refuses all further
+    /// ones.
+    wire::Task<void> closeAfter(int connections)
     {
         constexpr auto UseTuple = boost::asio::as_tuple(boost::asio::use_awaitable);
         for (int i = 0; i < connections; ++i) {
@@ -35,12 +36,12 @@
     bool probe(int connections)
     {
         bool ended = false;
-        boost::asio::co_spawn(m_io, endAfter(connections), boost::asio::detached);
+        boost::asio::co_spawn(m_io, closeAfter(connections), boost::asio::detached);
         boost::asio::co_spawn(
             m_io,
             [&]() -> wire::Task<void> {
                 const wire::Endpoint server { "127.0.0.1", m_acceptor.local_endpoint().port() };
-                ended = co_await hasEnded(m_http, server);
+                ended = co_await hasTerminated(m_http, server);
                 m_io.stop();
             },
             boost::asio::detached);
@@ -54,15 +55,15 @@
     int m_taken = 0;
 };
 
-// A caller's prompt takes down a third server: the second one was just ending when it was asked
-// whether it lives, took the connection and broke it off, and its death was not counted.
-TEST_F(ServerProbeTest, AServerThatBreaksProbesOffWhileItEndsHasEnded)
+// Guards against a prompt crashing a third server: the second one was terminating when it was
+// probed, accepted the connection and broke it off, so its crash was not counted.
+TEST_F(ServerProbeTest, AServerThatBreaksOffProbesWhileTerminatingHasTerminated)
 {
     EXPECT_TRUE(probe(3));
     EXPECT_EQ(m_taken, 3);
 }
 
-TEST_F(ServerProbeTest, AServerThatOnlyBreaksProbesOffIsNotSaidToHaveEnded)
+TEST_F(ServerProbeTest, AServerThatAlwaysBreaksOffProbesCountsAsRunning)
 {
     EXPECT_FALSE(probe(1000));
     EXPECT_GT(m_taken, 1);
--- a/src/snipestall/entry/trial_gate.cpp
+++ b/src/snipestall/entry/trial_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "trial_gate.hpp"
+#include "trial_coordinator.hpp"
 
 #include "snipestall/base/event_catalogue.hpp"
 #include "snipestall/base/log.hpp"
@@ -24,15 +24,19 @@
 
 namespace {
 
-/// A peer of the data centre answers within milliseconds. One that is cut off counts as lost after
-/// three seconds; until then a new prompt that it decides on waits this long for each try.
+/// A reachable peer of the data centre answers within milliseconds. An unreachable peer counts as
+/// lost only after three seconds; until then each question about a new prompt that it decides waits
+/// this long.
 constexpr milliseconds AskTimeout { 500 };
-/// The next in order is asked where the first does not answer; then the prompt begins all the same.
-constexpr std::size_t MostAsked = 2;
-constexpr milliseconds AskAgain { 30 };
-/// Shorter than the silence after which a server counts as stalled, since the copy that waits
-/// occupies a slot. A prompt that takes longer to its first token is begun beside its copy then.
-constexpr milliseconds LongestWait { 4000 };
+/// The second instance in rendezvous order is asked if the first does not answer. If neither
+/// answers, the prompt starts anyway.
+constexpr std::size_t MaxAsked = 2;
+/// Time between two questions while a copy has to wait.
+constexpr milliseconds AskInterval { 30 };
+/// Shorter than the time without output after which a server counts as stalled, because the waiting
+/// copy occupies a slot. If the first token of the other copy takes longer, the waiting copy starts
+/// beside it.
+constexpr milliseconds MaxWait { 4000 };
 
 std::uint64_t fingerprintOf(const Request &request)
 {
@@ -42,15 +46,15 @@
 
 } // namespace
 
-TrialGate::TrialGate(boost::asio::io_context &io, peer::Membership &members,
-                     peer::PeerNetwork &network, CrashLedger &crashes)
+TrialCoordinator::TrialCoordinator(boost::asio::io_context &io, peer::Membership &members,
+                                   peer::PeerNetwork &network, CrashLedger &crashes)
     : m_io(io)
     , m_members(members)
     , m_network(network)
     , m_crashes(crashes)
 { }
 
-wire::Task<void> TrialGate::begin(RequestPtr request)
+wire::Task<void> TrialCoordinator::awaitTurn(RequestPtr request)
 {
     const std::uint64_t fingerprint = fingerprintOf(*request);
     const bool model = request->spec().kind == settings::ServiceKind::Model;
@@ -61,30 +65,30 @@
     question.set_fingerprint(fingerprint);
     question.set_request(request->spec().id);
     question.set_home(m_members.self());
-    const auto until = steady_clock::now() + LongestWait;
-    bool told = false;
+    const auto waitEnd = steady_clock::now() + MaxWait;
+    bool logged = false;
     while (true) {
         const std::optional<bool> wait = co_await ask(question);
         if (!wait)
             logEvent(events::TrialUndecided, { { "request", request->spec().id } });
         if (!wait.value_or(false))
             break;
-        if (!std::exchange(told, true))
+        if (!std::exchange(logged, true))
             logEvent(events::CopyWaits, { { "request", request->spec().id } });
         const bool decided = !m_crashes.servers(fingerprint).empty() || request->finished();
-        if (decided || steady_clock::now() >= until)
+        if (decided || steady_clock::now() >= waitEnd)
             co_return;
-        co_await wire::sleepFor(AskAgain);
+        co_await wire::sleepFor(AskInterval);
     }
-    if (m_begun.insert(request->spec().id).second)
+    if (m_awaitingFirstToken.insert(request->spec().id).second)
         boost::asio::co_spawn(m_io, awaitFirstToken(request, fingerprint), boost::asio::detached);
 }
 
-wire::Task<std::optional<bool>> TrialGate::ask(peer::v1::TrialRequest question)
+wire::Task<std::optional<bool>> TrialCoordinator::ask(peer::v1::TrialRequest question)
 {
     const std::string key = std::to_string(question.fingerprint());
     std::vector<std::string> order = rendezvousOrder(key, m_members.owners());
-    order.resize(std::min(order.size(), MostAsked));
+    order.resize(std::min(order.size(), MaxAsked));
     for (const std::string &name : order) {
         if (name == m_members.self())
             co_return onTrial(question).wait();
@@ -94,24 +98,25 @@
         const auto reply = co_await client->trial(question, AskTimeout);
         if (!reply)
             continue;
-        noteCrashes(*reply);
+        recordCrashes(*reply);
         co_return reply->wait();
     }
     co_return std::nullopt;
 }
 
-peer::v1::TrialReply TrialGate::onTrial(const peer::v1::TrialRequest &request)
+peer::v1::TrialReply TrialCoordinator::onTrial(const peer::v1::TrialRequest &request)
 {
     const auto now = steady_clock::now();
     for (const peer::v1::CrashReport &report : request.crashes())
-        m_crashes.note({ report.fingerprint(), report.server() }, now);
+        m_crashes.add({ report.fingerprint(), report.server() }, now);
     peer::v1::TrialReply reply;
     if (request.over())
-        m_book.over(request.fingerprint(), request.request());
+        m_registry.over(request.fingerprint(), request.request());
     else
-        reply.set_wait(
-            !m_book.mayBegin({ request.fingerprint(), request.request(), request.home() }, now));
-    // What a copy has cost comes with the answer: the report may not be round yet.
+        reply.set_wait(!m_registry.mayStart(
+            { request.fingerprint(), request.request(), request.home() }, now));
+    // The reply includes the servers that a copy has crashed, because the crash report may not have
+    // reached all peers yet.
     for (const std::string &server : m_crashes.servers(request.fingerprint())) {
         peer::v1::CrashReport *report = reply.add_crashes();
         report->set_fingerprint(request.fingerprint());
@@ -120,17 +125,17 @@
     return reply;
 }
 
-void TrialGate::noteCrashes(const peer::v1::TrialReply &reply)
+void TrialCoordinator::recordCrashes(const peer::v1::TrialReply &reply)
 {
     for (const peer::v1::CrashReport &report : reply.crashes())
-        m_crashes.note({ report.fingerprint(), report.server() }, steady_clock::now());
+        m_crashes.add({ report.fingerprint(), report.server() }, steady_clock::now());
 }
 
-wire::Task<void> TrialGate::awaitFirstToken(RequestPtr request, std::uint64_t fingerprint)
+wire::Task<void> TrialCoordinator::awaitFirstToken(RequestPtr request, std::uint64_t fingerprint)
 {
     while (!request->finished() && !request->moved && request->nextOffset() == 0)
         co_await request->changed().wait();
-    m_begun.erase(request->spec().id);
+    m_awaitingFirstToken.erase(request->spec().id);
     if (request->nextOffset() > 0)
         m_answered.add(fingerprint, steady_clock::now());
     peer::v1::TrialRequest question;
