--- a/include/snipestall/policy/command.hpp
+++ b/include/snipestall/policy/command.hpp
@@ -15,22 +15,22 @@
     RateLimit,
     TokenLimit,
     ConcurrencyLimit,
-    /// It would not make its deadline.
+    /// The request would not finish before its deadline.
     Late,
     QueueFull,
     NoCapacity,
     Leaving,
-    /// Its retries are used up.
+    /// The request has used up its retries.
     RetriesExhausted,
-    /// It took down two backend servers.
+    /// The request crashed two backend servers.
     Quarantined,
-    /// Its deadline passed while it waited.
+    /// The deadline passed while the request was queued.
     Expired,
 };
 
 std::string_view toString(RefusalReason reason);
 
-/// Send the request to an owned backend server, now.
+/// Sends the request to an owned backend server now.
 struct Dispatch
 {
     RequestHandle request;
@@ -38,7 +38,7 @@
     ServerHandle server;
 };
 
-/// Send the request to the peer that owns a fitting backend server, now.
+/// Forwards the request now to the peer that owns a suitable backend server.
 struct ForwardTo
 {
     RequestHandle request;
@@ -46,17 +46,17 @@
     PeerHandle peer;
 };
 
-/// Give the caller its final answer at once. It is "not run" if no attempt was ever sent;
-/// the edge knows that, not the policy.
+/// Gives the caller its final answer at once. The outcome is "not run" if no attempt was ever sent;
+/// the I/O layer knows that, the policy does not.
 struct Refuse
 {
     RequestHandle request;
     RefusalReason reason = RefusalReason::NoCapacity;
-    /// When to come back; zero when coming back is of no use.
+    /// Time after which the caller should retry; zero when a retry cannot succeed.
     Duration retryAfter {};
 };
 
-/// Stop an attempt: its output is no longer wanted.
+/// Stops an attempt because its output is no longer wanted.
 struct CancelAttempt
 {
     RequestHandle request;
@@ -64,13 +64,13 @@
 };
 
 enum class MoveMethod {
-    /// Export the KV cache and import it at the target.
+    /// Exports the KV cache and imports it at the target.
     ExportKv,
-    /// Resume by recomputing prompt and output at the target.
+    /// Resumes the stream by recomputing the prompt and the output so far at the target.
     Resume,
 };
 
-/// Move a running stream off a leaving backend server. The old attempt ends with `attempt`'s start.
+/// Moves a running stream off a leaving backend server. Attempt `from` ends when `attempt` starts.
 struct MoveStream
 {
     RequestHandle request;
@@ -80,7 +80,7 @@
     MoveMethod method = MoveMethod::Resume;
 };
 
-/// Start one instance; only the steward carries it out.
+/// Starts one instance. Only the steward carries this out.
 struct StartInstance
 {
     std::string service;
@@ -88,7 +88,7 @@
     std::string instanceClass;
 };
 
-/// Release one instance of a group; only the steward carries it out.
+/// Releases one instance of a group. Only the steward carries this out.
 struct ReleaseInstance
 {
     std::string service;
--- a/include/snipestall/policy/decision_maker.hpp
+++ b/include/snipestall/policy/decision_maker.hpp
@@ -9,20 +9,22 @@
 
 namespace snipestall::policy {
 
-/// Deterministic state machine of every decision under load: the same events at the same times
-/// give the same commands. Implemented by World, and by the baselines it is measured against.
+/// Deterministic state machine that makes every decision about requests: the same events at the
+/// same times give the same commands. World implements it, and so do the baselines that World is
+/// compared with.
 class DecisionMaker
 {
 public:
     virtual ~DecisionMaker() = default;
 
-    /// Takes in events that happened up to `now`, runs the systems once, appends commands.
+    /// Processes the events that happened up to `now`, runs the systems once and appends the
+    /// resulting commands.
     virtual void step(Time now, std::span<const Event> events, std::vector<Command> &commands) = 0;
 
-    /// When step() is next needed without any event; nothing when idle.
+    /// Time at which step() is next needed if no event arrives; no value when idle.
     [[nodiscard]] virtual std::optional<Time> nextWake() const = 0;
 
-    /// What this instance can take, for peers' summaries.
+    /// The capacity that this instance offers to its peers, one summary per service.
     [[nodiscard]] virtual std::vector<PoolSummary> summaries(Time now) const = 0;
 };
 
--- a/include/snipestall/policy/event.hpp
+++ b/include/snipestall/policy/event.hpp
@@ -18,10 +18,10 @@
 
 /// How soon a caller needs the answer.
 enum class Urgency {
-    /// Lookups, confirmations: a person waits.
+    /// Lookups and confirmations that a person waits for.
     Urgent,
     Normal,
-    /// Long work that may wait but never vanishes.
+    /// Long work that may wait but is never dropped.
     Patient,
 };
 
@@ -31,7 +31,7 @@
     std::shared_ptr<const settings::EffectiveSettings> settings;
 };
 
-/// A request to decide on: from a caller, or forwarded by a peer to this owner.
+/// A request to decide on, sent by a caller or forwarded by a peer to this instance as the owner.
 struct RequestArrived
 {
     RequestHandle request;
@@ -44,15 +44,18 @@
     bool idempotent = true;
     /// Chain of hashes of the prompt's prefix blocks, shortest prefix first.
     std::vector<std::uint64_t> prefix;
-    /// Forwarded: already admitted by a peer; it may be queued or refused back, never forwarded on.
+    /// A peer has admitted the request already: it may be queued here or refused back to the peer,
+    /// but is never forwarded on.
     bool forwarded = false;
-    /// Took over after a hand-over or a lost peer: already accepted, so never refused by a limit.
+    /// The request was taken over in a hand-over or from a lost peer. It is accepted already, so no
+    /// limit refuses it.
     bool accepted = false;
-    /// Times it was in flight on a backend server that died; > 0 makes it a suspect.
+    /// Number of times the request was in flight on a backend server that died; above 0 it is a
+    /// suspect.
     std::uint32_t crashes = 0;
-    /// Tokens that callers already have, when it is resumed.
+    /// Number of tokens that the caller already has, when the request is resumed.
     std::uint32_t resumeOffset = 0;
-    /// Hash of the whole request, the same when its caller repeats it; 0 when not known.
+    /// Hash of the whole request, equal when the caller repeats it; 0 when unknown.
     std::uint64_t fingerprint = 0;
 };
 
@@ -62,7 +65,7 @@
     RequestHandle request;
 };
 
-/// Tokens came out of an attempt; the first such event is the first token.
+/// An attempt produced tokens; the first such event reports the first token.
 struct TokensProduced
 {
     RequestHandle request;
@@ -73,13 +76,13 @@
 /// How an attempt ended.
 enum class AttemptResult {
     Completed,
-    /// No byte left for the backend server or peer.
+    /// No byte was sent to the backend server or peer.
     NotSent,
-    /// The backend server or peer said that it did not run it; see retryAfter.
+    /// The backend server or peer reported that it did not run the request; see `retryAfter`.
     Declined,
-    /// The connection broke after bytes left, the server lives.
+    /// The connection broke after bytes were sent; the backend server is still up.
     Cut,
-    /// The connection broke since the backend server died.
+    /// The connection broke because the backend server died.
     ServerDied,
     /// The backend server answered with a final failure.
     Rejected,
@@ -93,7 +96,7 @@
     Duration retryAfter {};
 };
 
-/// An owned backend server is there and can be given work. Sent again when its facts change.
+/// An owned backend server is up and can be given work. Sent again when its properties change.
 struct ServerUp
 {
     ServerHandle server;
@@ -101,7 +104,7 @@
     std::string dataCentre;
     std::string instanceClass;
     std::uint32_t slots = 0;
-    /// Models (and adapters) loaded.
+    /// Loaded models and adapters.
     std::vector<std::string> models;
 };
 
@@ -112,13 +115,13 @@
     Duration notice {};
 };
 
-/// A backend server is gone, or owned by another instance from now on.
+/// A backend server is gone, or from now on owned by another instance.
 struct ServerGone
 {
     ServerHandle server;
 };
 
-/// A backend server's own account of its load; lags and may be wrong.
+/// The load that a backend server reports for itself; it lags and may be wrong.
 struct ServerReport
 {
     ServerHandle server;
@@ -127,7 +130,7 @@
     Duration age {};
 };
 
-/// A prefix entered or left a backend server's cache; comes late and with gaps.
+/// A prefix entered or left a backend server's cache. These events come late, and some are lost.
 struct CacheChanged
 {
     ServerHandle server;
@@ -135,7 +138,7 @@
     bool present = true;
 };
 
-/// What a peer can take for one service.
+/// The capacity that a peer offers for one service.
 struct PoolSummary
 {
     std::string service;
@@ -143,25 +146,25 @@
     std::uint32_t queued = 0;
     std::uint32_t servers = 0;
     Duration wait {};
-    /// Low 32 bits of the hottest cached prefixes.
+    /// Low 32 bits of the hashes of the most used cached prefixes.
     std::vector<std::uint32_t> prefixSketch;
-    /// Fingerprints of requests that took down two backend servers, of any service.
+    /// Fingerprints of requests of any service that crashed two backend servers.
     std::vector<std::uint64_t> quarantined {};
-    /// Free slots with those reserved for short urgent work; `freeSlots` is without them.
+    /// Free slots including those reserved for short urgent work; `freeSlots` excludes them.
     std::uint32_t urgentFreeSlots = 0;
-    /// Wait of short urgent work; when not told, `wait`.
+    /// Expected wait of short urgent work; `wait` applies when it is not reported.
     std::optional<Duration> urgentWait {};
-    /// Wait of patient work; when not told, `wait`.
+    /// Expected wait of patient work; `wait` applies when it is not reported.
     std::optional<Duration> patientWait {};
-    /// Usual time for one output token, or for one call of a plain service; 0 when not known.
+    /// Median time for one output token, or for one call of a plain service; 0 when unknown.
     Duration tokenTime {};
-    /// Backend servers that are ejected at the moment; not among `servers`.
+    /// Number of backend servers that are ejected at the moment; `servers` excludes them.
     std::uint32_t ejected = 0;
-    /// Usual share of attempts that fail on a backend server.
+    /// Median share of attempts that fail on a backend server.
     double failureRate = 0;
 };
 
-/// A peer instance's summary; replaces its earlier one.
+/// The summary of a peer instance; replaces its earlier one.
 struct PeerSummary
 {
     PeerHandle peer;
@@ -170,19 +173,19 @@
     std::vector<PoolSummary> pools;
 };
 
-/// A peer is silent or leaving: it gets no new work.
+/// A peer has not reported recently or is leaving: it gets no new work.
 struct PeerGone
 {
     PeerHandle peer;
 };
 
-/// This instance is going to stop: it accepts nothing more.
+/// This instance is about to stop: it accepts no new requests.
 struct SelfLeaving
 {
     Duration notice {};
 };
 
-/// The steward's view of the capacity bought; sent when it changes and at least each 5 s.
+/// The steward's view of the bought capacity; sent when it changes and at least every 5 s.
 struct CapacityReport
 {
     struct Group
@@ -194,7 +197,7 @@
         std::uint32_t starting = 0;
     };
     std::vector<Group> groups;
-    /// Requests a second and tokens a second asked of each service, over the whole data centre.
+    /// Demand for a service over the whole data centre, in tokens per second and queued requests.
     struct Demand
     {
         std::string service;
@@ -205,7 +208,7 @@
     std::vector<Demand> demand;
 };
 
-/// The cloud refused a start.
+/// The cloud refused to start an instance.
 struct StartRefused
 {
     std::string service;
--- a/include/snipestall/policy/handles.hpp
+++ b/include/snipestall/policy/handles.hpp
@@ -6,7 +6,8 @@
 
 namespace snipestall::policy {
 
-/// Number given by the edge to something it tells the policy about. Different tags don't mix.
+/// Number that identifies an object in events and commands. Handles with different tags are
+/// distinct types.
 template<typename Tag>
 struct Handle
 {
@@ -15,9 +16,9 @@
     auto operator<=>(const Handle &) const = default;
 };
 
-/// One request on this instance, unique for the life of the process.
+/// One request on this instance, unique for the lifetime of the process.
 using RequestHandle = Handle<struct RequestTag>;
-/// One try to run a request; given by the policy, unique for the life of the process.
+/// One attempt to run a request; assigned by the policy, unique for the lifetime of the process.
 using AttemptHandle = Handle<struct AttemptTag>;
 /// One incarnation of a backend server.
 using ServerHandle = Handle<struct ServerTag>;
--- a/include/snipestall/policy/time.hpp
+++ b/include/snipestall/policy/time.hpp
@@ -4,7 +4,7 @@
 
 namespace snipestall::policy {
 
-/// The policy's own time line. It never reads a clock: time comes in with each batch of events.
+/// Clock of the policy. The policy never reads a clock: each batch of events carries its time.
 struct PolicyClock
 {
     using duration = std::chrono::microseconds;
--- a/include/snipestall/policy/world.hpp
+++ b/include/snipestall/policy/world.hpp
@@ -8,15 +8,15 @@
 
 namespace snipestall::policy {
 
-/// The product's decision maker: tables (requests, backend servers, peers, customers, pools) and
-/// the systems that run over what changed in each step.
+/// The product's decision maker. It consists of tables (requests, backend servers, peers,
+/// customers, pools) and of systems that process what changed in each step.
 ///
 ///     auto world = World::create("samsun-hall", seed);
 ///     world->step(now, events, commands);
 class World final : public DecisionMaker
 {
 public:
-    /// `seed` drives the jitter of retry times only.
+    /// `seed` initialises the random jitter of retry times and has no other use.
     static std::unique_ptr<World> create(std::string dataCentre, std::uint64_t seed);
     ~World() override;
 
--- a/src/snipestall/policy/admission.hpp
+++ b/src/snipestall/policy/admission.hpp
@@ -9,7 +9,7 @@
 /// Admits a request or refuses it at once.
 void onRequestArrived(State &state, const RequestArrived &event);
 
-/// Gives up on queued requests that can't make their deadline any more.
+/// Refuses queued requests that can no longer meet their deadline.
 void expireQueued(State &state);
 
 } // namespace snipestall::policy
--- a/src/snipestall/policy/admission_test.cpp
+++ b/src/snipestall/policy/admission_test.cpp
@@ -72,9 +72,9 @@
     EXPECT_EQ(m_fleet.count([](const Outcome &o) { return o.refused.has_value(); }), 2);
 }
 
-// An instance under notice hands its requests over. The receiver is at its limits, but these
-// callers were told that they are accepted: refused now, they would be lost.
-TEST_F(AdmissionTest, WhatWasAcceptedIsNotRefusedByALimit)
+// An instance under notice hands its requests over to a receiver that is at its limits. Their
+// callers already know that the requests are accepted, so a refusal would lose them.
+TEST_F(AdmissionTest, AcceptedRequestsAreNotRefusedByALimit)
 {
     settings::LeafSettings &leaf = m_fleet.addCustomer("ferries");
     leaf.concurrency = 1;
@@ -102,15 +102,17 @@
     EXPECT_TRUE(refusedFor(m_fleet.of(stranger), RefusalReason::UnknownService));
 }
 
-// Ten times the usual load for five seconds. Without early refusal the queue outlives the burst,
-// each request in it is served just after its deadline, and no caller gets an answer in time.
-TEST_F(AdmissionTest, ABurstIsRefusedEarlyAndWhatIsTakenMakesItsDeadline)
+// Ten times the usual load arrives for five seconds. Without early refusal the queue outlasts the
+// burst, each queued request is served just after its deadline, and no caller gets an answer in
+// time.
+TEST_F(AdmissionTest, ABurstIsRefusedEarlyAndAdmittedRequestsMeetTheirDeadlines)
 {
     m_fleet.addCustomer("ferries");
     m_fleet.start();
     for (int i = 0; i < 4; ++i)
         m_fleet.addServer(8);
-    // 2.05 s of work each on 32 slots: the pool serves about 15 a second.
+    // Each request takes 2.05 s on one of 32 slots, so the pool serves about 15 requests per
+    // second.
     const auto make = [&] {
         RequestArrived event = m_fleet.request("ferries");
         event.deadline = m_fleet.now + 8s;
@@ -130,8 +132,9 @@
     EXPECT_GE(answered, 35 * 10);
 }
 
-// A whole pool at one and a half times what it can do, for a minute. Refusing must not cost
-// goodput: the slots stay full of work that ends in time, and refusals go out on arrival.
+// A pool gets one and a half times the load that it can serve, for a minute. Refusals must not
+// reduce goodput: the slots stay full of work that ends in time, and requests are refused on
+// arrival.
 TEST_F(AdmissionTest, SaturationKeepsGoodputAndRefusesOnArrival)
 {
     m_fleet.addCustomer("ferries");
@@ -151,7 +154,7 @@
     EXPECT_GE(inTime, 0.95 * capacity);
 }
 
-TEST_F(AdmissionTest, CallersRefusedTogetherAreToldDifferentTimes)
+TEST_F(AdmissionTest, CallersRefusedTogetherGetDifferentRetryTimes)
 {
     m_fleet.addCustomer("ferries").requestsPerSecond = 1;
     m_fleet.start();
--- a/src/snipestall/policy/capacity.hpp
+++ b/src/snipestall/policy/capacity.hpp
@@ -6,10 +6,12 @@
 
 struct State;
 
-/// Starts what demand asks for where it is expected to cost least, and releases what is not needed.
+/// Starts the instances that demand needs, where their expected cost is lowest, and releases
+/// instances that are not needed.
 void onCapacityReport(State &state, const CapacityReport &event);
 
-/// The cloud has none of this class at the moment: try another, and this one later.
+/// Backs off from a class that the cloud has no instances of at the moment, so that another class
+/// is tried first and this one again later.
 void onStartRefused(State &state, const StartRefused &event);
 
 } // namespace snipestall::policy
--- a/src/snipestall/policy/capacity_table.hpp
+++ b/src/snipestall/policy/capacity_table.hpp
@@ -10,7 +10,7 @@
 
 namespace snipestall::policy {
 
-/// Instances of one service that are bought alike.
+/// Identifies the instances of one service that are of the same class and data centre.
 struct GroupName
 {
     std::string service;
@@ -20,18 +20,18 @@
     auto operator<=>(const GroupName &) const = default;
 };
 
-/// What the policy remembers between two reports of the capacity bought.
+/// State of the capacity decisions that is kept between two reports.
 struct CapacityTable
 {
     struct Group
     {
         std::uint32_t running = 0;
         std::uint32_t starting = 0;
-        /// Starts asked for that no report shows yet.
-        std::uint32_t asked = 0;
-        Time askedAt;
+        /// Starts requested by this policy that no report shows yet.
+        std::uint32_t requestedStarts = 0;
+        Time requestedAt;
 
-        [[nodiscard]] std::uint32_t size() const { return running + starting + asked; }
+        [[nodiscard]] std::uint32_t size() const { return running + starting + requestedStarts; }
     };
 
     struct Backoff
@@ -42,13 +42,14 @@
 
     struct Service
     {
-        /// Since when there are more instances than needed.
+        /// Time since which there have been more instances than needed.
         Time surplusSince = Time::max();
         Time releasedAt;
     };
 
     std::map<GroupName, Group> groups;
-    /// Of refused starts, by data centre and class: the cloud lacks the class, not the service.
+    /// Backoffs after refused starts, by data centre and class: the cloud lacks the class, whatever
+    /// the service.
     std::map<std::pair<std::string, std::string>, Backoff> backoffs;
     std::map<std::string, Service> services;
     Time refusedAt;
--- a/src/snipestall/policy/capacity_test.cpp
+++ b/src/snipestall/policy/capacity_test.cpp
@@ -49,15 +49,15 @@
     FakeFleet m_fleet;
 };
 
-TEST_F(CapacityTest, StartsWhatDemandNeedsWhereItIsExpectedToCostLeast)
+TEST_F(CapacityTest, StartsInstancesOfTheClassWithTheLowestExpectedCost)
 {
     report(2, 0, 300);
-    // Four at three quarters of 100 tokens a second each; "volatile" is cheap but reclaimed each
-    // minute.
+    // Demand needs four instances at three quarters of 100 tokens per second each; "volatile" is
+    // cheap but is reclaimed every minute.
     EXPECT_EQ(started(), (std::vector<std::string> { "spot", "spot" }));
 }
 
-TEST_F(CapacityTest, DoesNotAskTwiceForWhatIsNotYetReported)
+TEST_F(CapacityTest, DoesNotRequestUnreportedStartsTwice)
 {
     report(2, 0, 300);
     m_fleet.runFor(5s);
@@ -68,8 +68,9 @@
     EXPECT_TRUE(started().empty());
 }
 
-// Half of the zone is reclaimed, and the cloud refuses each start of the class that went. Asking
-// for it again and again leaves the pool short for minutes while another class is to be had.
+// Half of the data centre is reclaimed, and the cloud refuses each start of the reclaimed class.
+// Requesting that class again and again leaves the pool short for minutes although another class is
+// available.
 TEST_F(CapacityTest, ARefusedStartGoesToAnotherClass)
 {
     report(2, 0, 225);
--- a/src/snipestall/policy/class_cost.cpp
+++ b/src/snipestall/policy/class_cost.cpp
@@ -8,11 +8,11 @@
 namespace snipestall::policy {
 namespace {
 
-/// A reclaim costs the time to start a replacement and to recompute what was lost; where latency
-/// counts, that time is paid many times over by callers who wait.
-constexpr double LatenessWeight = 20.0;
+/// A reclaim costs the time to start a replacement and to recompute the lost work. Where latency
+/// counts, that time is weighted many times over because callers wait for it.
+constexpr double LatencyWeight = 20.0;
 
-/// Tokens recomputed after a reclaim, as time of the whole instance.
+/// Time that the whole instance spends on recomputing tokens after a reclaim.
 constexpr double RecomputeSeconds = 10.0;
 
 constexpr double SecondsPerHour = 3600.0;
@@ -25,8 +25,8 @@
     const double hazard = instanceClass.reclaimable ? instanceClass.reclaimsPerHour : 0.0;
     const double startSeconds = std::chrono::duration<double>(service.startTime).count();
     const double lostHours = (startSeconds + RecomputeSeconds) / SecondsPerHour;
-    const double lateness = 1.0 + LatenessWeight * (1.0 - costPreference);
-    return instanceClass.pricePerHour * (1.0 + hazard * lostHours * lateness);
+    const double latencyFactor = 1.0 + LatencyWeight * (1.0 - costPreference);
+    return instanceClass.pricePerHour * (1.0 + hazard * lostHours * latencyFactor);
 }
 
 } // namespace snipestall::policy
--- a/src/snipestall/policy/class_cost.hpp
+++ b/src/snipestall/policy/class_cost.hpp
@@ -7,9 +7,9 @@
 
 namespace snipestall::policy {
 
-/// Expected cost of an instance for an hour: its price, and what its reclaims cost.
+/// Expected cost of an instance per hour: its price plus the cost of its reclaims.
 ///
-/// `costPreference` is 0 where latency alone counts and 1 where cost alone counts.
+/// `costPreference` is 0 where only latency counts and 1 where only cost counts.
 double expectedCostPerHour(const settings::ClassSettings &instanceClass,
                            const settings::ServiceSettings &service, double costPreference);
 
--- a/src/snipestall/policy/concurrency.cpp
+++ b/src/snipestall/policy/concurrency.cpp
@@ -8,55 +8,59 @@
 namespace snipestall::policy {
 namespace {
 
-/// One token batch in ten: follows a change of load within a second of a busy server.
+/// Weight of one token batch in ten, so that the average follows a change of load within a second
+/// on a busy server.
 constexpr double PaceGain = 0.1;
 
-/// Time for one change of the limit to show in the pace before the next; faster, and the limit
-/// swings between both ends.
+/// Time for a change of the limit to affect the pace before the next change. With a shorter
+/// interval the limit swings between both extremes.
 constexpr Duration AdjustInterval = std::chrono::milliseconds(500);
 
-/// Between these two the limit stays, or it would never settle.
-constexpr double TooSlow = 1.0;
-constexpr double RoomToSpare = 0.85;
+/// The limit is lowered above one pace and raised below the other. Between the two it stays,
+/// because it would otherwise never settle.
+constexpr double LowerLimitPace = 1.0;
+constexpr double RaiseLimitPace = 0.85;
 
 /// Multiplicative decrease, additive increase (Chiu and Jain, 1989).
-constexpr double Decrease = 0.85;
+constexpr double DecreaseFactor = 0.85;
 
-/// An engine whose target can't be met at any concurrency would be driven down to nothing and its
-/// queue would grow without end; below a quarter of the slots a lower limit buys little speed.
-constexpr std::uint32_t LeastPart = 4;
+/// The limit is not lowered below a quarter of the slots, where a lower limit gains little speed.
+/// Otherwise the limit of an engine that can't meet its target at any concurrency would fall to
+/// nothing, and its queue would grow without bound.
+constexpr std::uint32_t MinLimitDivisor = 4;
 
-/// Older reports say nothing about now.
+/// Older reports do not reflect the present load.
 constexpr Duration ReportLifetime = std::chrono::seconds(5);
 
-std::uint32_t leastLimit(const Server &server)
+std::uint32_t minLimit(const Server &server)
 {
-    return std::max(1U, server.slots / LeastPart);
+    return std::max(1U, server.slots / MinLimitDivisor);
 }
 
-void lower(Server &server)
+void lowerLimit(Server &server)
 {
-    const auto lowered = static_cast<std::uint32_t>(server.limit * Decrease);
-    server.limit = std::max(leastLimit(server), std::min(lowered, server.limit - 1));
+    const auto lowered = static_cast<std::uint32_t>(server.limit * DecreaseFactor);
+    server.limit = std::max(minLimit(server), std::min(lowered, server.limit - 1));
 }
 
-void adjust(State &state, Server &server)
+void adjustLimit(State &state, Server &server)
 {
-    // Half in use is enough to raise it: a low limit makes a server look loaded, so that it would
-    // never be filled to it.
+    // The limit may be raised when half of it is in use: a server with a low limit counts as
+    // loaded, so it would never be filled to its limit.
     const bool inUse = 2 * server.running() >= server.limit;
-    // While more runs than the limit, the last lowering has not had its effect: streams end one
-    // by one, over seconds, and lowering on would end at the bottom each time.
+    // While more requests run than the limit allows, the last decrease has not taken effect yet:
+    // streams end one by one, over seconds. Further decreases would take the limit to its minimum
+    // each time.
     const bool settled = server.running() <= server.limit;
-    if (server.pace > TooSlow && settled && server.limit > leastLimit(server))
-        lower(server);
-    else if (server.pace < RoomToSpare && inUse && server.limit < server.slots)
+    if (server.pace > LowerLimitPace && settled && server.limit > minLimit(server))
+        lowerLimit(server);
+    else if (server.pace < RaiseLimitPace && inUse && server.limit < server.slots)
         ++server.limit;
     else
         return;
-    server.adjustedAt = state.now;
+    server.limitAdjustedAt = state.now;
     server.pool->index.update(server);
-    state.touch(*server.pool);
+    state.markChanged(*server.pool);
 }
 
 } // namespace
@@ -64,28 +68,29 @@
 void observePace(State &state, Server &server, double pace)
 {
     server.pace += PaceGain * (pace - server.pace);
-    if (state.now - server.adjustedAt >= AdjustInterval)
-        adjust(state, server);
+    if (state.now - server.limitAdjustedAt >= AdjustInterval)
+        adjustLimit(state, server);
 }
 
-// Load: a server that another instance also fills, as in the moment when ownership moves. The
-// report can only take slots away: one that says idle may be lagging, or the server answers
-// nothing and fails fast. It never takes the last slot, so that a report that is wrong for ever
-// can't shut a working server out.
+// Covers a server that another instance also uses, as in the moment when ownership moves. A report
+// can only take slots away: a report of an idle server may lag, or the server may answer nothing
+// and fail fast. A report never takes the last slot, so that a report that stays wrong can't
+// exclude a working server.
 void onServerReport(State &state, const ServerReport &event)
 {
     Server *server = state.findServer(event.server);
     if (!server || server->limit == 0 || event.age > ReportLifetime)
         return;
     const std::uint32_t reported = event.running + event.queued;
-    // The report lags: compare with the most that ran in the time it can speak of.
-    const std::uint32_t own = std::max(server->peak, server->lastPeak);
-    const std::uint32_t foreign = reported > own ? reported - own : 0;
-    server->foreign = std::min(foreign, server->limit - 1);
-    server->lastPeak = server->peak;
+    // The report lags, so it is compared with the largest number of requests that ran in the time
+    // that it may cover.
+    const std::uint32_t own = std::max(server->peak, server->previousPeak);
+    const std::uint32_t foreignRequests = reported > own ? reported - own : 0;
+    server->foreignRequests = std::min(foreignRequests, server->limit - 1);
+    server->previousPeak = server->peak;
     server->peak = server->running();
     server->pool->index.update(*server);
-    state.touch(*server->pool);
+    state.markChanged(*server->pool);
 }
 
 void onCacheChanged(State &state, const CacheChanged &event)
--- a/src/snipestall/policy/concurrency.hpp
+++ b/src/snipestall/policy/concurrency.hpp
@@ -8,14 +8,14 @@
 struct Server;
 struct State;
 
-/// Adapts how many requests a backend server is given side by side to its inter-token time.
-/// `pace` is the time one token took over the target: 1 is just in time.
+/// Adapts the concurrency limit of a backend server to its inter-token time. `pace` is the time for
+/// one token divided by the target time: 1 just meets the target.
 void observePace(State &state, Server &server, double pace);
 
-/// Takes a backend server's own account of its load.
+/// Applies the load that a backend server reports for itself.
 void onServerReport(State &state, const ServerReport &event);
 
-/// A prefix entered or left a backend server's cache.
+/// Records that a prefix entered or left a backend server's cache.
 void onCacheChanged(State &state, const CacheChanged &event);
 
 } // namespace snipestall::policy
--- a/src/snipestall/policy/crash_table.cpp
+++ b/src/snipestall/policy/crash_table.cpp
@@ -6,21 +6,22 @@
 namespace snipestall::policy {
 namespace {
 
-/// Longer than callers go on repeating a request that failed; afterwards the model or its engine
-/// may have been mended.
-constexpr Duration Lifetime = std::chrono::minutes(10);
+/// Longer than callers repeat a failed request; after that time the model or its engine may have
+/// been fixed.
+constexpr Duration EntryLifetime = std::chrono::minutes(10);
 
-/// A wave that kills hundreds of servers at once leaves this many neighbours at most.
+/// Bounds the entries after a wave in which hundreds of servers die at once and make suspects of
+/// all requests there.
 constexpr std::size_t MaxEntries = 4096;
 
 } // namespace
 
-CrashTable::Entry &CrashTable::entry(Time now, std::uint64_t fingerprint)
+CrashTable::Entry &CrashTable::findOrAdd(Time now, std::uint64_t fingerprint)
 {
     const auto [it, added] = m_entries.try_emplace(fingerprint);
     if (!added && it->second.expires <= now)
         it->second = {};
-    it->second.expires = now + Lifetime;
+    it->second.expires = now + EntryLifetime;
     if (!added)
         return it->second;
     m_order.push_back(fingerprint);
@@ -31,9 +32,9 @@
     return it->second;
 }
 
-std::uint32_t CrashTable::count(Time now, std::uint64_t fingerprint)
+std::uint32_t CrashTable::recordCrash(Time now, std::uint64_t fingerprint)
 {
-    return fingerprint == 0 ? 0 : ++entry(now, fingerprint).crashes;
+    return fingerprint == 0 ? 0 : ++findOrAdd(now, fingerprint).crashes;
 }
 
 void CrashTable::clear(std::uint64_t fingerprint)
@@ -45,8 +46,8 @@
 
 void CrashTable::quarantine(Time now, std::uint64_t fingerprint)
 {
-    if (fingerprint != 0 && crashes(now, fingerprint) < QuarantinedAt)
-        entry(now, fingerprint).crashes = QuarantinedAt;
+    if (fingerprint != 0 && crashes(now, fingerprint) < QuarantineThreshold)
+        findOrAdd(now, fingerprint).crashes = QuarantineThreshold;
 }
 
 std::uint32_t CrashTable::crashes(Time now, std::uint64_t fingerprint) const
@@ -56,11 +57,11 @@
     return live ? it->second.crashes : 0;
 }
 
-std::vector<std::uint64_t> CrashTable::quarantined(Time now, std::size_t most) const
+std::vector<std::uint64_t> CrashTable::quarantined(Time now, std::size_t maxResults) const
 {
     std::vector<std::uint64_t> found;
-    for (auto it = m_order.rbegin(); it != m_order.rend() && found.size() < most; ++it) {
-        if (crashes(now, *it) >= QuarantinedAt)
+    for (auto it = m_order.rbegin(); it != m_order.rend() && found.size() < maxResults; ++it) {
+        if (crashes(now, *it) >= QuarantineThreshold)
             found.push_back(*it);
     }
     return found;
--- a/src/snipestall/policy/crash_table.hpp
+++ b/src/snipestall/policy/crash_table.hpp
@@ -14,21 +14,22 @@
 class CrashTable
 {
 public:
-    /// Deaths after which a fingerprint is quarantined: the first may be chance and takes its
-    /// neighbours along; a second one, alone on a server, is not.
-    static constexpr std::uint32_t QuarantinedAt = 2;
-
-    /// Counts one more death; returns how many there are now.
-    std::uint32_t count(Time now, std::uint64_t fingerprint);
-    /// It ran alone and the server lived.
+    /// Number of deaths at which a fingerprint is quarantined. The first death may be chance and
+    /// also makes suspects of the requests that ran beside it; a second one, with the request alone
+    /// on a server, has no other cause.
+    static constexpr std::uint32_t QuarantineThreshold = 2;
+
+    /// Counts one more death and returns the number of deaths so far.
+    std::uint32_t recordCrash(Time now, std::uint64_t fingerprint);
+    /// Resets the count because the request ran alone and the server survived.
     void clear(std::uint64_t fingerprint);
-    /// A peer's finding.
+    /// Quarantines a fingerprint that a peer reported.
     void quarantine(Time now, std::uint64_t fingerprint);
 
     [[nodiscard]] std::uint32_t crashes(Time now, std::uint64_t fingerprint) const;
 
-    /// The newest quarantined fingerprints, for peers.
-    [[nodiscard]] std::vector<std::uint64_t> quarantined(Time now, std::size_t most) const;
+    /// The newest quarantined fingerprints, at most `maxResults`, to be sent to peers.
+    [[nodiscard]] std::vector<std::uint64_t> quarantined(Time now, std::size_t maxResults) const;
 
 private:
     struct Entry
@@ -37,7 +38,7 @@
         Time expires;
     };
 
-    Entry &entry(Time now, std::uint64_t fingerprint);
+    Entry &findOrAdd(Time now, std::uint64_t fingerprint);
 
     std::unordered_map<std::uint64_t, Entry> m_entries;
     std::deque<std::uint64_t> m_order;
--- a/src/snipestall/policy/death_window.cpp
+++ b/src/snipestall/policy/death_window.cpp
@@ -9,10 +9,10 @@
 
 constexpr Duration Window = std::chrono::seconds(2);
 
-/// Two may be one crashing request and its retry.
-constexpr std::ptrdiff_t Several = 3;
+/// Two deaths may come from one crashing request and its retry.
+constexpr std::ptrdiff_t CommonCauseDeaths = 3;
 
-constexpr std::size_t Remembered = 16;
+constexpr std::size_t MaxRemembered = 16;
 
 } // namespace
 
@@ -22,17 +22,17 @@
     if (std::any_of(m_deaths.begin(), m_deaths.end(), same))
         return;
     m_deaths.emplace_back(now, server);
-    if (m_deaths.size() > Remembered)
+    if (m_deaths.size() > MaxRemembered)
         m_deaths.pop_front();
 }
 
-bool DeathWindow::commonCause(Time now) const
+bool DeathWindow::hasCommonCause(Time now) const
 {
-    const auto recent = [&](const auto &death) { return within(now, death.first); };
-    return std::count_if(m_deaths.begin(), m_deaths.end(), recent) >= Several;
+    const auto recent = [&](const auto &death) { return isRecent(now, death.first); };
+    return std::count_if(m_deaths.begin(), m_deaths.end(), recent) >= CommonCauseDeaths;
 }
 
-bool DeathWindow::within(Time now, Time death)
+bool DeathWindow::isRecent(Time now, Time death)
 {
     return death + Window > now;
 }
--- a/src/snipestall/policy/death_window.hpp
+++ b/src/snipestall/policy/death_window.hpp
@@ -8,19 +8,19 @@
 
 namespace snipestall::policy {
 
-/// Deaths of backend servers of one pool within the last moments.
+/// Recent deaths of backend servers of one pool.
 ///
-/// Failure: a rack or a data centre loses power, and everything in flight there would count as
-/// suspected of crashing its server; it shows as survivors emptied to run hundreds of requests
-/// alone, one by one. One request takes down one server at a time, so several deaths at once have
-/// another cause.
+/// Guards against this failure: a rack or a data centre loses power, and every request in flight
+/// there counts as suspected of crashing its server. The surviving servers are then emptied to run
+/// hundreds of requests alone, one by one. One request crashes one server at a time, so several
+/// deaths at once have another cause.
 class DeathWindow
 {
 public:
     void add(Time now, ServerHandle server);
-    [[nodiscard]] bool commonCause(Time now) const;
-    /// Whether a death at that time belongs to what happens now.
-    [[nodiscard]] static bool within(Time now, Time death);
+    [[nodiscard]] bool hasCommonCause(Time now) const;
+    /// Whether a death at time `death` is recent enough to share a cause with the present ones.
+    [[nodiscard]] static bool isRecent(Time now, Time death);
 
 private:
     std::deque<std::pair<Time, ServerHandle>> m_deaths;
--- a/src/snipestall/policy/departed_servers.hpp
+++ b/src/snipestall/policy/departed_servers.hpp
@@ -7,7 +7,7 @@
 
 namespace snipestall::policy {
 
-/// Incarnations of backend servers that had notice; never given work again.
+/// Incarnations of backend servers that have had notice; they never get work again.
 class DepartedServers
 {
 public:
--- a/src/snipestall/policy/fair_queue.cpp
+++ b/src/snipestall/policy/fair_queue.cpp
@@ -8,34 +8,35 @@
 namespace snipestall::policy {
 namespace {
 
-/// A request with less time left than this goes before the fair order. Longer, and most of the
-/// queue would count as pressing and the shares would no longer bind.
-constexpr Duration PressingWindow = std::chrono::milliseconds(400);
+/// A request with less time left than this is due soon and goes before the fair order. With a
+/// longer window most of the queue would be due soon, and the shares would no longer hold.
+constexpr Duration DueSoonWindow = std::chrono::milliseconds(400);
 
-/// How far (in tokens over weight) a flow may be ahead of the least served one and still have its
-/// pressing requests go first. Without a bound a customer takes the pool by sending short
-/// deadlines; with a wide one, a flood's old requests go before another customer's new ones. This
-/// is about five requests of a hundred tokens.
-constexpr double PressingLead = 512;
+/// Lead in virtual time (tokens over weight) over the least served flow up to which a flow's
+/// requests that are due soon still go first. Without a bound a customer could take the whole pool
+/// by sending short deadlines; with a large bound, old requests of a flood go before new ones of
+/// another customer. The value is about five requests of a hundred tokens.
+constexpr double MaxDueSoonLead = 512;
 
-/// Flows looked at for a pressing request, so that a pick costs the same with many customers.
-constexpr int PressingLooks = 4;
+/// Number of flows examined for a request that is due soon, so that a pick costs the same with many
+/// customers.
+constexpr int MaxDueSoonLooks = 4;
 
-/// Load: more urgent work than the pool can serve. A fifth of the slot time goes to other work all
-/// the same, so that long work is slowed by urgent work but never starved by it. Counted in time:
-/// a fifth of the picks would give long work most of the slots.
-constexpr int UrgentPart = 4;
+/// When more urgent work arrives than the pool can serve, a fifth of the slot time still goes to
+/// other work, so that urgent work slows long work but never starves it. The ratio applies to slot
+/// time, because a fifth of the picks would give long work most of the slots.
+constexpr int UrgentToOtherRatio = 4;
 
-/// The same between normal and patient work: of the slot time they share, a quarter goes to patient
-/// work while both wait. Aging by waiting time instead made all patient work of a long overload
-/// older than any normal work, which then came late without exception.
-constexpr int NormalPart = 3;
+/// The same ratio between normal and patient work: while both wait, a quarter of the slot time that
+/// they share goes to patient work. Aging by waiting time would instead make all patient work of a
+/// long overload older than any normal work, which would then always be late.
+constexpr int NormalToPatientRatio = 3;
 
-constexpr double LeastWeight = 1e-6;
+constexpr double MinWeight = 1e-6;
 
 void charge(Flow &flow, double cost)
 {
-    flow.virtualTime += cost / std::max(flow.leaf.weight, LeastWeight);
+    flow.virtualTime += cost / std::max(flow.leaf.weight, MinWeight);
 }
 
 QueuedRequest entryOf(Request &request)
@@ -63,8 +64,8 @@
 {
     Flow &flow = *request.flow;
     unindex(flow);
-    // A flow that was idle starts at the present: time without demand earns no credit, or one
-    // customer's burst after a quiet night would shut out all others.
+    // A flow that was idle starts at the present virtual time: time without demand earns no credit.
+    // Otherwise one customer's burst after a quiet night would shut out all other customers.
     if (flow.idle())
         flow.virtualTime = std::max(flow.virtualTime, m_virtualTime);
     insert(request);
@@ -81,7 +82,7 @@
 void FairQueue::serve(Request &request)
 {
     Flow &flow = *request.flow;
-    countTurn(request);
+    updateRuns(request);
     unindex(flow);
     m_virtualTime = std::max(m_virtualTime, flow.virtualTime);
     remove(request);
@@ -106,38 +107,38 @@
 Request *FairQueue::next(Time now, OpenLanes open) const
 {
     Request *urgent = head(now, Lane::Urgent);
-    Request *other = background(now, open);
+    Request *other = nextBackground(now, open);
     if (!urgent)
         return other;
-    const bool turnOfOthers = other && m_urgentRun >= UrgentPart * other->service;
+    const bool turnOfOthers = other && m_urgentRun >= UrgentToOtherRatio * other->slotTime;
     return turnOfOthers ? other : urgent;
 }
 
-// Deadline slack first: patient work with none left goes before normal work, of which less is
-// admitted the longer it would wait.
-Request *FairQueue::background(Time now, OpenLanes open) const
+// Deadline slack comes first: patient work with no slack left goes before normal work, of which
+// less is admitted the longer it would wait.
+Request *FairQueue::nextBackground(Time now, OpenLanes open) const
 {
     Request *normal = open.normal ? head(now, Lane::Normal) : nullptr;
     Request *patient = open.patient ? head(now, Lane::Patient) : nullptr;
     if (!normal || !patient)
         return normal ? normal : patient;
-    const bool pressing = patient->startBy <= now + PressingWindow;
-    const bool turnOfPatient = m_normalRun >= NormalPart * patient->service;
-    return pressing || turnOfPatient ? patient : normal;
+    const bool dueSoon = patient->startBy <= now + DueSoonWindow;
+    const bool turnOfPatient = m_normalRun >= NormalToPatientRatio * patient->slotTime;
+    return dueSoon || turnOfPatient ? patient : normal;
 }
 
-void FairQueue::countTurn(const Request &request)
+void FairQueue::updateRuns(const Request &request)
 {
     const Lane lane = laneOf(request);
     const bool othersWait = size(Lane::Normal) + size(Lane::Patient) > 0;
     const bool patientWaits = size(Lane::Patient) > 0;
     if (lane == Lane::Urgent) {
-        m_urgentRun = othersWait ? m_urgentRun + request.service : Duration::zero();
+        m_urgentRun = othersWait ? m_urgentRun + request.slotTime : Duration::zero();
         return;
     }
     m_urgentRun = Duration::zero();
     const bool overtakes = lane == Lane::Normal && patientWaits;
-    m_normalRun = overtakes ? m_normalRun + request.service : Duration::zero();
+    m_normalRun = overtakes ? m_normalRun + request.slotTime : Duration::zero();
 }
 
 Request *FairQueue::head(Time now, Lane lane) const
@@ -145,18 +146,18 @@
     const LaneIndex &index = m_lanes[indexOf(lane)];
     if (index.shares.empty())
         return nullptr;
-    if (Request *request = pressing(index, now))
+    if (Request *request = dueSoon(index, now))
         return request;
     const Flow &flow = *index.shares.begin()->flow;
     return flow.lanes[indexOf(lane)].begin()->request;
 }
 
-Request *FairQueue::pressing(const LaneIndex &lane, Time now) const
+Request *FairQueue::dueSoon(const LaneIndex &lane, Time now) const
 {
-    const double lead = lane.shares.begin()->virtualTime + PressingLead;
+    const double lead = lane.shares.begin()->virtualTime + MaxDueSoonLead;
     int looks = 0;
     for (const QueuedRequest &head : lane.heads) {
-        if (head.key.first > now + PressingWindow || looks++ == PressingLooks)
+        if (head.key.first > now + DueSoonWindow || looks++ == MaxDueSoonLooks)
             return nullptr;
         if (head.request->flow->virtualTime <= lead)
             return head.request;
@@ -192,8 +193,8 @@
 {
     const std::size_t lane = indexOf(laneOf(request));
     request.flow->lanes[lane].insert(entryOf(request));
-    request.flow->queuedService[lane] += request.service;
-    m_lanes[lane].service += request.service;
+    request.flow->queuedSlotTime[lane] += request.slotTime;
+    m_lanes[lane].slotTime += request.slotTime;
     ++m_lanes[lane].size;
     ++m_size;
 }
@@ -202,8 +203,8 @@
 {
     const std::size_t lane = indexOf(laneOf(request));
     request.flow->lanes[lane].erase(entryOf(request));
-    request.flow->queuedService[lane] -= request.service;
-    m_lanes[lane].service -= request.service;
+    request.flow->queuedSlotTime[lane] -= request.slotTime;
+    m_lanes[lane].slotTime -= request.slotTime;
     --m_lanes[lane].size;
     --m_size;
 }
--- a/src/snipestall/policy/fake_fleet.hpp
+++ b/src/snipestall/policy/fake_fleet.hpp
@@ -15,8 +15,8 @@
 
 namespace snipestall::policy {
 
-/// Test fake of all that stands around a World: backend servers that answer after a while, and the
-/// callers' ledger. Runs on virtual time.
+/// Test fake of everything around a World: backend servers that answer after some time, and a
+/// record of each request's outcome. Runs on virtual time.
 class FakeFleet
 {
 public:
@@ -25,11 +25,11 @@
         std::uint32_t slots = 0;
         Duration prompt = std::chrono::milliseconds(50);
         Duration perToken = std::chrono::milliseconds(20);
-        /// Part by which each request beside it slows a token.
+        /// Fraction by which each other request running on the server slows down a token.
         double crowding = 0;
-        /// How its attempts end.
+        /// How attempts on this server end.
         AttemptResult result = AttemptResult::Completed;
-        /// Answers nothing, with its connections open.
+        /// The server answers nothing and keeps its connections open.
         bool frozen = false;
         bool leaving = false;
         bool gone = false;
@@ -51,7 +51,7 @@
         std::vector<std::uint64_t> beside;
         int ends = 0;
         std::uint32_t produced = 0;
-        /// Tokens that a server worked through a second time.
+        /// Tokens that a server processed a second time.
         std::uint32_t recomputed = 0;
         /// An attempt broke after it was sent.
         bool cut = false;
@@ -95,7 +95,7 @@
         return handle;
     }
 
-    /// The server dies without notice, and with it all that runs there.
+    /// Ends the server without notice, and with it every attempt that runs there.
     void kill(ServerHandle handle)
     {
         Backend &backend = servers[handle.value];
@@ -116,7 +116,7 @@
         give(ServerLeaving { handle, notice });
     }
 
-    /// Notice, and the end when it runs out.
+    /// Gives notice to the server and ends it when the notice runs out.
     void reclaim(ServerHandle handle, Duration notice)
     {
         leave(handle, notice);
@@ -154,10 +154,10 @@
         const std::vector<Command> commands = last;
         log.insert(log.end(), commands.begin(), commands.end());
         for (const Command &command : commands)
-            std::visit([this](const auto &c) { obey(c); }, command);
+            std::visit([this](const auto &c) { execute(c); }, command);
     }
 
-    /// Lets virtual time pass up to `until`.
+    /// Advances virtual time to `until`.
     void runUntil(Time until)
     {
         while (true) {
@@ -176,7 +176,7 @@
 
     void runFor(Duration duration) { runUntil(now + duration); }
 
-    /// Sends `perSecond` requests a second, evenly, for a while.
+    /// Sends `perSecond` evenly spaced requests per second for `duration`.
     template<typename MakeRequest>
     void load(int perSecond, Duration duration, MakeRequest make)
     {
@@ -204,12 +204,12 @@
     std::map<std::uint64_t, Outcome> outcomes;
     std::vector<Command> last;
     std::vector<Command> log;
-    /// Broken promises, in words.
+    /// Descriptions of violated invariants.
     std::vector<std::string> faults;
-    /// Whether a request takes down the server that runs it, `crashAfter` its dispatch.
+    /// Requests that crash the server that runs them, `crashAfter` after their dispatch.
     std::set<std::uint64_t> crashers;
     Duration crashAfter = std::chrono::milliseconds(30);
-    /// Peers send back all that they are given; else a test answers for them.
+    /// Peers decline every forwarded request; when false, the test answers for them.
     bool peersDecline = false;
 
 private:
@@ -219,8 +219,8 @@
         ServerHandle server;
     };
 
-    /// What happens next: an attempt's first token, or its end, or a crash.
-    struct Due
+    /// A scheduled step of an attempt: tokens, its end or a crash of its server.
+    struct ScheduledStep
     {
         std::uint64_t attempt = 0;
         std::uint32_t tokens = 0;
@@ -240,13 +240,13 @@
             give(std::vector<Event> {});
             return;
         }
-        const Due due = m_due.begin()->second;
+        const ScheduledStep due = m_due.begin()->second;
         m_due.erase(m_due.begin());
         if (m_attempts.contains(due.attempt))
-            happen(due);
+            process(due);
     }
 
-    void happen(const Due &due)
+    void process(const ScheduledStep &due)
     {
         const Attempt attempt = m_attempts.at(due.attempt);
         if (servers[attempt.server.value].frozen)
@@ -333,14 +333,14 @@
         add(at, { attempt.value, 0, true, false });
     }
 
-    void add(Time at, Due due) { m_due.emplace(std::pair(at, ++m_lastDue), due); }
+    void add(Time at, ScheduledStep due) { m_due.emplace(std::pair(at, ++m_lastDue), due); }
 
     static void countRecomputed(Outcome &outcome)
     {
         outcome.recomputed += outcome.request.promptTokens + outcome.produced;
     }
 
-    void obey(const Dispatch &command)
+    void execute(const Dispatch &command)
     {
         Outcome &outcome = of(command.request);
         if (!outcome.dispatches.empty())
@@ -349,7 +349,7 @@
         runOn(command.request, command.attempt, command.server);
     }
 
-    void obey(const MoveStream &command)
+    void execute(const MoveStream &command)
     {
         of(command.request).moves.push_back(command);
         endAttempt(command.from.value);
@@ -358,7 +358,7 @@
         runOn(command.request, command.attempt, command.target);
     }
 
-    void obey(const ForwardTo &command)
+    void execute(const ForwardTo &command)
     {
         of(command.request).forwards.push_back(command);
         if (!peersDecline)
@@ -367,18 +367,18 @@
         add(now + std::chrono::milliseconds(2), { command.attempt.value, 0, true, false });
     }
 
-    void obey(const Refuse &command)
+    void execute(const Refuse &command)
     {
         of(command.request).refused = command;
         ++of(command.request).ends;
     }
 
-    void obey(const CancelAttempt &command) { endAttempt(command.attempt.value); }
-    void obey(const StartInstance &) { }
-    void obey(const ReleaseInstance &) { }
+    void execute(const CancelAttempt &command) { endAttempt(command.attempt.value); }
+    void execute(const StartInstance &) { }
+    void execute(const ReleaseInstance &) { }
 
     std::map<std::uint64_t, Attempt> m_attempts;
-    std::map<std::pair<Time, std::uint64_t>, Due> m_due;
+    std::map<std::pair<Time, std::uint64_t>, ScheduledStep> m_due;
     std::multimap<Time, ServerHandle> m_reclaims;
     std::uint64_t m_lastServer = 0;
     std::uint64_t m_lastRequest = 0;
--- a/src/snipestall/policy/fleet.cpp
+++ b/src/snipestall/policy/fleet.cpp
@@ -2,9 +2,9 @@
 
 #include "snipestall/policy/isolation.hpp"
 #include "snipestall/policy/limits.hpp"
-#include "snipestall/policy/shifting.hpp"
 #include "snipestall/policy/state.hpp"
 #include "snipestall/policy/stranded.hpp"
+#include "snipestall/policy/stream_move.hpp"
 #include "snipestall/settings/effective_settings.hpp"
 
 #include <algorithm>
@@ -16,13 +16,13 @@
 void configureServices(State &state)
 {
     for (auto &[name, pool] : state.pools)
-        pool.known = false;
+        pool.configured = false;
     for (const settings::ServiceSettings &service : state.settings->services) {
         Pool &pool = state.pool(service.service);
         pool.settings = service;
-        pool.known = true;
+        pool.configured = true;
         pool.index.configure(state.settings->classes);
-        state.touch(pool);
+        state.markChanged(pool);
     }
 }
 
@@ -30,12 +30,12 @@
 {
     for (auto &[name, pool] : state.pools) {
         for (auto &[customer, flow] : pool.flows)
-            flow->known = false;
+            flow->configured = false;
     }
     for (const settings::LeafSettings &leaf : state.settings->leaves) {
         Pool &pool = state.pool(leaf.service);
         Flow &flow = state.flow(pool, leaf.customer);
-        flow.known = true;
+        flow.configured = true;
         pool.queue.configure(flow, leaf);
         configureLimits(state, flow);
     }
@@ -91,27 +91,27 @@
     server.limit = unadapted ? event.slots : std::min(server.limit, event.slots);
     server.gone = false;
     server.pool->index.update(server);
-    state.touch(*server.pool);
+    state.markChanged(*server.pool);
 }
 
 void onServerLeaving(State &state, const ServerLeaving &event)
 {
-    // Failure: the platform's list lags and reports the server as up again after its notice. It
-    // shows as work sent to a server in its last seconds. Leaving holds for the incarnation.
+    // The platform's list lags and may report the server as up again after its notice. Work would
+    // then be sent to a server in its last seconds, so leaving holds for the whole incarnation.
     state.departed.insert(event.server);
     Server *server = state.findServer(event.server);
     if (!server)
         return;
     if (!server->leaving)
-        server->pool->index.noteReclaim(state.now, *server);
+        server->pool->index.recordReclaim(state.now, *server);
     server->leaving = true;
     server->noticeEnds = state.now + event.notice;
     server->noticeHalf = state.now + event.notice / 2;
     state.notices.add(server->noticeHalf, server->handle);
-    abandonIsolation(state, *server);
+    cancelIsolation(state, *server);
     server->pool->index.update(*server);
     planMoves(state, *server);
-    state.touch(*server->pool);
+    state.markChanged(*server->pool);
 }
 
 void onServerGone(State &state, const ServerGone &event)
@@ -120,35 +120,36 @@
     if (!server)
         return;
     server->gone = true;
-    abandonIsolation(state, *server);
+    cancelIsolation(state, *server);
     server->pool->prefixes.forget(event.server);
     server->pool->index.update(*server);
-    state.touch(*server->pool);
-    // What still runs there ends by its own events; the row stays until then.
+    state.markChanged(*server->pool);
+    // Attempts that still run there end by their own events; the row stays until then.
     Pool &pool = *server->pool;
     const bool announced = server->leaving;
     if (server->running() == 0)
         eraseServer(state, *server);
-    // After a wave with notice the homes are as short of servers as this instance: given back all
-    // at once, the work crowds out what arrives (tried: normal in target 68% where 80% is asked).
+    // After a wave of reclaims with notice, the homes are as short of servers as this instance. If
+    // all requests were refused back to them at once, they would crowd out new requests (68%
+    // instead of the required 80% of normal requests would meet their target).
     if (announced || hasServer(pool))
         return;
-    pool.deserted = true;
+    pool.lostLastServer = true;
     releaseStranded(state, pool);
 }
 
 void onPeerSummary(State &state, const PeerSummary &event)
 {
-    const std::uint32_t before = state.peers.countIn(state.dataCentre);
+    const std::uint32_t before = state.peers.peersIn(state.dataCentre);
     state.peers.update(state.now, event);
-    if (state.peers.countIn(state.dataCentre) != before)
+    if (state.peers.peersIn(state.dataCentre) != before)
         divideLimits(state);
     for (const PoolSummary &summary : event.pools) {
         for (const std::uint64_t fingerprint : summary.quarantined)
             state.crashes.quarantine(state.now, fingerprint);
         const auto pool = state.pools.find(summary.service);
         if (pool != state.pools.end())
-            state.touch(pool->second);
+            state.markChanged(pool->second);
     }
 }
 
--- a/src/snipestall/policy/flow.hpp
+++ b/src/snipestall/policy/flow.hpp
@@ -14,7 +14,7 @@
 
 struct Request;
 
-/// Place of a request in a lane of its flow: the least time left first, then the order of arrival.
+/// Position of a request in a lane of its flow: by latest start, then by order of arrival.
 using QueueKey = std::pair<Time, std::uint64_t>;
 
 struct QueuedRequest
@@ -25,24 +25,25 @@
     bool operator<(const QueuedRequest &other) const { return key < other.key; }
 };
 
-/// Row of the customer table: one customer's use of one service (a leaf of the settings tree).
+/// Row of the customer table: one customer's use of one service, which is a leaf of the settings
+/// tree.
 struct Flow
 {
     std::uint32_t id = 0;
     settings::LeafSettings leaf;
-    bool known = false;
+    bool configured = false;
 
     TokenBucket requestBucket;
     TokenBucket tokenBucket;
-    /// Admitted here and not yet ended.
-    std::uint32_t live = 0;
-    /// Part of `maxTokens` that its requests really produce.
+    /// Requests that were admitted here and have not ended.
+    std::uint32_t activeRequests = 0;
+    /// Average share of `maxTokens` that the flow's requests actually produce.
     double outputFraction = 0.6;
 
-    /// Work received, over weight: the flow with the least is served next.
+    /// Cost served so far divided by weight; the flow with the lowest value is served next.
     double virtualTime = 0;
     std::array<std::set<QueuedRequest>, LaneCount> lanes;
-    std::array<Duration, LaneCount> queuedService {};
+    std::array<Duration, LaneCount> queuedSlotTime {};
 
     [[nodiscard]] std::size_t queued() const
     {
--- a/src/snipestall/policy/health.cpp
+++ b/src/snipestall/policy/health.cpp
@@ -13,43 +13,49 @@
 namespace snipestall::policy {
 namespace {
 
-/// One piece of work in ten, so that a single long prompt ejects nobody.
+/// Weight of one sample: one in ten, so that a single long prompt ejects no server.
 constexpr double SpeedGain = 0.1;
 constexpr double FailureGain = 0.2;
 
-/// Pieces of work before a server can be judged.
-constexpr std::uint32_t TellingSamples = 10;
-constexpr std::uint32_t TellingResults = 5;
+/// Samples needed before a server can be evaluated.
+constexpr std::uint32_t MinSpeedSamples = 10;
+constexpr std::uint32_t MinResults = 5;
 
-/// Full and idle servers of one kind differ by less than two; three times the median is broken.
-constexpr double EjectSlowness = 3.0;
-constexpr double ReadmitSlowness = 2.0;
+/// Full and idle servers of one kind differ by a factor of less than two; a server at three times
+/// the median is broken.
+constexpr double EjectSlowdown = 3.0;
+constexpr double ReadmitSlowdown = 2.0;
 
-/// A server that fails most attempts while the middle of its pool fails few. When all fail alike,
-/// the cause is in the requests or behind the pool, and ejecting helps nobody.
-constexpr double EjectFailures = 0.5;
-constexpr double UsualFailures = 0.25;
+/// A server is failing when most of its attempts fail while the median server of its pool fails
+/// few. When all servers fail alike, the cause lies in the requests or behind the pool, and
+/// ejecting servers does not help.
+constexpr double EjectFailureRate = 0.5;
+constexpr double MaxNormalFailureRate = 0.25;
 
-/// A third of a pool at most: judged wrongly, or in a fault of all, the rest must carry the load.
-constexpr std::size_t LargestPart = 3;
+/// At most a third of a pool is ejected, because the rest must carry the load if servers are
+/// ejected wrongly or a fault affects all of them.
+constexpr std::size_t MaxEjectedDivisor = 3;
 
-/// Comparing costs the size of the pool, so it is done by time, not by event.
+/// A comparison costs time in proportion to the size of the pool, so it runs at intervals instead
+/// of on each event.
 constexpr Duration ReviewInterval = std::chrono::seconds(1);
-/// Sooner after a failure: a server that fails at once can spoil many requests in a second.
+/// The interval is shorter after a failure, because a server that fails at once can spoil many
+/// requests in a second.
 constexpr Duration ReviewAfterFailure = std::chrono::milliseconds(100);
 
-/// Silence after which a server with work counts as stalled. Engines pause for a second or two
-/// when they collect or swap memory.
+/// Time without progress after which a server with work counts as stalled. Engines pause for a
+/// second or two when they collect garbage or swap memory.
 constexpr Duration StallTime = std::chrono::seconds(5);
 
-constexpr Duration FirstProbeWait = std::chrono::seconds(5);
-constexpr Duration LongestProbeWait = std::chrono::seconds(60);
+constexpr Duration InitialProbeWait = std::chrono::seconds(5);
+constexpr Duration MaxProbeWait = std::chrono::seconds(60);
 
-/// A pool without work fit for a probe lets the server back in after this time; if it is still
-/// bad, it is found out again.
-constexpr Duration LongestProbation = std::chrono::seconds(30);
+/// A pool without work that is suitable for a probe readmits the server after this time; if the
+/// server is still unhealthy, it is detected again.
+constexpr Duration MaxProbation = std::chrono::seconds(30);
 
-/// The lower one of two middles: in a pool of which half is slow the other half sets the norm.
+/// Returns the lower of the two middle values of an even number, so that in a pool of which half is
+/// slow the other half is the reference.
 double medianOf(std::vector<double> values)
 {
     if (values.empty())
@@ -59,10 +65,10 @@
     return *middle;
 }
 
-struct PoolNorm
+struct PoolStatistics
 {
-    /// Seconds for one piece of work.
-    double pace = 0;
+    /// Median time in seconds for one output token or one plain call.
+    double workSeconds = 0;
     double failureRate = 0;
     std::size_t ejected = 0;
     std::size_t servers = 0;
@@ -70,92 +76,96 @@
 
 struct Samples
 {
-    std::vector<double> paces;
+    std::vector<double> workSeconds;
     std::vector<double> failureRates;
 };
 
-void addServers(const Pool &pool, PoolNorm &norm, Samples &samples)
+void addServerSamples(const Pool &pool, PoolStatistics &statistics, Samples &samples)
 {
     for (const auto &[handle, server] : pool.servers) {
-        norm.ejected += server->standing == Standing::Healthy ? 0 : 1;
-        if (server->speedSamples >= TellingSamples)
-            samples.paces.push_back(server->workSeconds);
+        statistics.ejected += server->healthState == HealthState::Healthy ? 0 : 1;
+        if (server->speedSamples >= MinSpeedSamples)
+            samples.workSeconds.push_back(server->workSeconds);
         samples.failureRates.push_back(server->failureRate);
     }
-    norm.servers += pool.servers.size();
+    statistics.servers += pool.servers.size();
 }
 
-/// Load: a pool spread over many owners, with one or two servers each. None of them could compare,
-/// and a third of two is none; peers' figures make the whole pool the measure.
-void addPeers(const State &state, const Pool &pool, PoolNorm &norm, Samples &samples)
+/// Covers a pool that is spread over many owners with one or two servers each. No owner could
+/// compare its servers, and a third of two is none; with the figures of the peers the whole pool is
+/// the reference.
+void addPeerSamples(const State &state, const Pool &pool, PoolStatistics &statistics,
+                    Samples &samples)
 {
-    for (const PoolSummary *summary : state.peers.fresh(state.now, pool.service)) {
-        norm.ejected += summary->ejected;
-        norm.servers += summary->servers + summary->ejected;
-        const double pace = std::chrono::duration<double>(summary->tokenTime).count();
-        if (pace > 0)
-            samples.paces.insert(samples.paces.end(), summary->servers, pace);
+    for (const PoolSummary *summary : state.peers.freshSummaries(state.now, pool.service)) {
+        statistics.ejected += summary->ejected;
+        statistics.servers += summary->servers + summary->ejected;
+        const double seconds = std::chrono::duration<double>(summary->tokenTime).count();
+        if (seconds > 0)
+            samples.workSeconds.insert(samples.workSeconds.end(), summary->servers, seconds);
         const double failureRate = summary->failureRate;
         samples.failureRates.insert(samples.failureRates.end(), summary->servers, failureRate);
     }
 }
 
-PoolNorm normOf(const State &state, const Pool &pool)
+PoolStatistics statisticsOf(const State &state, const Pool &pool)
 {
-    PoolNorm norm;
+    PoolStatistics statistics;
     Samples samples;
-    addServers(pool, norm, samples);
-    addPeers(state, pool, norm, samples);
-    norm.pace = medianOf(std::move(samples.paces));
-    norm.failureRate = medianOf(std::move(samples.failureRates));
-    return norm;
+    addServerSamples(pool, statistics, samples);
+    addPeerSamples(state, pool, statistics, samples);
+    statistics.workSeconds = medianOf(std::move(samples.workSeconds));
+    statistics.failureRate = medianOf(std::move(samples.failureRates));
+    return statistics;
 }
 
-bool isSlow(const Server &server, const PoolNorm &norm, double bound)
+bool isSlow(const Server &server, const PoolStatistics &statistics, double bound)
 {
-    if (server.speedSamples < TellingSamples || norm.pace <= 0)
+    if (server.speedSamples < MinSpeedSamples || statistics.workSeconds <= 0)
         return false;
-    return server.workSeconds > bound * norm.pace;
+    return server.workSeconds > bound * statistics.workSeconds;
 }
 
-/// Failure: a server freezes with its connections open. It shows as nothing at all, so no sample
-/// ever counts against it, while its slots look free to whoever ends.
+/// Detects a server that freezes with its connections open. It reports nothing, so no sample ever
+/// counts against it, while each slot that becomes free there looks usable.
 bool isStalled(const State &state, const Server &server)
 {
     return server.running() > 0 && server.progressDue < state.now;
 }
 
-bool isFailing(const Server &server, const PoolNorm &norm)
+bool isFailing(const Server &server, const PoolStatistics &statistics)
 {
-    const bool failing = server.results >= TellingResults && server.failureRate > EjectFailures;
-    return failing && norm.failureRate < UsualFailures;
+    const bool failing =
+        server.resultSamples >= MinResults && server.failureRate > EjectFailureRate;
+    return failing && statistics.failureRate < MaxNormalFailureRate;
 }
 
-void forgetObservations(Server &server)
+void resetObservations(Server &server)
 {
     server.speedSamples = 0;
     server.workSeconds = 0;
-    server.results = 0;
+    server.resultSamples = 0;
     server.failureRate = 0;
 }
 
 void reindex(State &state, Server &server)
 {
     server.pool->index.update(server);
-    state.touch(*server.pool);
+    state.markChanged(*server.pool);
 }
 
 void eject(State &state, Server &server)
 {
-    server.standing = Standing::Ejected;
+    server.healthState = HealthState::Ejected;
     server.pool->probing.erase(server.handle);
-    server.probeWait = std::clamp(server.probeWait * 2, FirstProbeWait, LongestProbeWait);
+    server.probeWait = std::clamp(server.probeWait * 2, InitialProbeWait, MaxProbeWait);
     server.probeAt = state.now + state.jittered(server.probeWait);
     reindex(state, server);
 }
 
-/// What a stalled server holds goes on elsewhere, if it may be run twice and the budget allows.
-void takeOff(State &state, Server &server)
+/// Queues the requests of a stalled server again if they may be run twice and the retry budget
+/// allows it.
+void requeueHeldRequests(State &state, Server &server)
 {
     const std::set<std::uint64_t> held = server.requests;
     for (const std::uint64_t handle : held) {
@@ -163,67 +173,68 @@
         if (!request.idempotent || !request.pool->retryBudget.spend(state.now))
             continue;
         state.emit(CancelAttempt { request.handle, request.attempt });
-        withdraw(state, request);
+        leavePhase(state, request);
         estimate(request);
         enqueue(state, request);
     }
 }
 
-void probe(State &state, Server &server)
+void startProbe(State &state, Server &server)
 {
-    server.standing = Standing::Probing;
+    server.healthState = HealthState::Probing;
     server.pool->probing.insert(server.handle);
-    forgetObservations(server);
+    resetObservations(server);
     reindex(state, server);
 }
 
 void readmit(State &state, Server &server)
 {
-    server.standing = Standing::Healthy;
+    server.healthState = HealthState::Healthy;
     server.pool->probing.erase(server.handle);
     server.probeWait = Duration::zero();
-    // Its limit fell while it was slow; from a half it climbs back within seconds.
+    // The limit fell while the server was slow; from a half it rises again within seconds.
     server.limit = std::max(server.limit, (server.slots + 1) / 2);
     reindex(state, server);
 }
 
-void judgeProbe(State &state, Server &server, const PoolNorm &norm)
+void evaluateProbe(State &state, Server &server, const PoolStatistics &statistics)
 {
     if (isStalled(state, server)) {
         eject(state, server);
-        takeOff(state, server);
+        requeueHeldRequests(state, server);
         return;
     }
-    const bool known = server.speedSamples >= TellingSamples || server.results >= TellingResults;
-    const bool untried = state.now - server.probeAt >= LongestProbation;
-    if (!known && !untried)
+    const bool known = server.speedSamples >= MinSpeedSamples || server.resultSamples >= MinResults;
+    const bool expired = state.now - server.probeAt >= MaxProbation;
+    if (!known && !expired)
         return;
-    if (isFailing(server, norm) || isSlow(server, norm, ReadmitSlowness))
+    if (isFailing(server, statistics) || isSlow(server, statistics, ReadmitSlowdown))
         eject(state, server);
     else
         readmit(state, server);
 }
 
-void reviewServer(State &state, Server &server, PoolNorm &norm)
+void reviewServer(State &state, Server &server, PoolStatistics &statistics)
 {
-    if (server.standing == Standing::Ejected && server.probeAt <= state.now)
-        probe(state, server);
-    else if (server.standing == Standing::Probing)
-        judgeProbe(state, server, norm);
-    if (server.standing != Standing::Healthy)
+    if (server.healthState == HealthState::Ejected && server.probeAt <= state.now)
+        startProbe(state, server);
+    else if (server.healthState == HealthState::Probing)
+        evaluateProbe(state, server, statistics);
+    if (server.healthState != HealthState::Healthy)
         return;
-    const std::size_t most = norm.servers / LargestPart;
+    const std::size_t maxEjected = statistics.servers / MaxEjectedDivisor;
     const bool stalled = isStalled(state, server);
-    const bool bad = isFailing(server, norm) || isSlow(server, norm, EjectSlowness);
-    if (norm.ejected >= most || (!bad && !stalled))
+    const bool unhealthy =
+        isFailing(server, statistics) || isSlow(server, statistics, EjectSlowdown);
+    if (statistics.ejected >= maxEjected || (!unhealthy && !stalled))
         return;
-    ++norm.ejected;
+    ++statistics.ejected;
     eject(state, server);
     if (stalled)
-        takeOff(state, server);
+        requeueHeldRequests(state, server);
 }
 
-void reviewSoon(State &state, Duration wait)
+void scheduleReview(State &state, Duration wait)
 {
     state.nextReview = std::min(state.nextReview, state.now + wait);
 }
@@ -233,7 +244,8 @@
 void observeSpeed(Server &server, Duration taken)
 {
     const double seconds = std::chrono::duration<double>(taken).count();
-    // The first samples count as their mean, so that a server is not judged by its very first.
+    // The first samples are averaged with equal weights, so that a server is not evaluated by its
+    // first sample alone.
     const double gain = std::max(SpeedGain, 1.0 / (server.speedSamples + 1));
     server.workSeconds += gain * (seconds - server.workSeconds);
     ++server.speedSamples;
@@ -247,26 +259,28 @@
 void observeSuccess(const Request &request)
 {
     Server &server = *request.server;
-    ++server.results;
+    ++server.resultSamples;
     server.failureRate -= FailureGain * server.failureRate;
 }
 
-// Failure: a server answers every request at once with an error. It shows as the least loaded of
-// its pool, and work flows to it faster the faster it fails. Its slot stays taken for as long as
-// a good attempt would have lasted, so it never gets more work than a working server.
+// Guards against this failure: a server answers every request at once with an error. It looks like
+// the least loaded server of its pool and gets more work the faster it fails. Its slot therefore
+// stays occupied for as long as a successful attempt would have lasted, so that it never gets more
+// work than a working server.
 void observeFailure(State &state, const Request &request)
 {
     Server &server = *request.server;
-    ++server.results;
+    ++server.resultSamples;
     server.failureRate += FailureGain * (1.0 - server.failureRate);
     ++server.penalties;
-    const Time until = std::max(state.now, request.dispatchedAt + request.service);
+    const Time until = std::max(state.now, request.dispatchedAt + request.slotTime);
     state.penalties.add(until, server.handle);
     reindex(state, server);
-    reviewSoon(state, ReviewAfterFailure);
+    scheduleReview(state, ReviewAfterFailure);
 }
 
-// A probe may be slow or fail: it is made with work that nobody waits for and that may be repeated.
+// A probe may be slow or fail, so it uses a request that nobody is waiting for and that may be
+// repeated.
 Server *serverToProbe(State &state, const Request &request)
 {
     if (request.urgency == Urgency::Urgent || !request.idempotent)
@@ -281,14 +295,14 @@
 
 void describeHealth(const Pool &pool, PoolSummary &summary)
 {
-    PoolNorm norm;
+    PoolStatistics statistics;
     Samples samples;
-    addServers(pool, norm, samples);
-    const std::chrono::duration<double> pace(medianOf(std::move(samples.paces)));
-    summary.tokenTime = std::chrono::duration_cast<Duration>(pace);
+    addServerSamples(pool, statistics, samples);
+    const std::chrono::duration<double> workTime(medianOf(std::move(samples.workSeconds)));
+    summary.tokenTime = std::chrono::duration_cast<Duration>(workTime);
     summary.failureRate = medianOf(std::move(samples.failureRates));
-    summary.ejected = static_cast<std::uint32_t>(norm.ejected);
-    // A server on probation is counted as ejected, not as one that takes work.
+    summary.ejected = static_cast<std::uint32_t>(statistics.ejected);
+    // A server on probation counts as ejected, not as one that takes work.
     summary.servers -= std::min(summary.servers, static_cast<std::uint32_t>(pool.probing.size()));
 }
 
@@ -310,14 +324,14 @@
     state.nextReview = state.now + ReviewInterval;
     for (auto &[service, pool] : state.pools) {
         pool.heat.decay();
-        // Reserves fall with time alone; without this, work queued in a pool where nothing else
-        // happens would wait for the next event.
+        // Reserved slots decrease with time alone. Without this, work queued in a pool where
+        // nothing else happens would wait for the next event.
         const bool quiet = state.now - pool.now >= ReviewInterval;
         if (quiet && !pool.queue.empty())
-            state.touch(pool);
-        PoolNorm norm = normOf(state, pool);
+            state.markChanged(pool);
+        PoolStatistics statistics = statisticsOf(state, pool);
         for (const auto &[handle, server] : pool.servers)
-            reviewServer(state, *server, norm);
+            reviewServer(state, *server, statistics);
     }
 }
 
--- a/src/snipestall/policy/health.hpp
+++ b/src/snipestall/policy/health.hpp
@@ -10,28 +10,30 @@
 struct Server;
 struct State;
 
-/// Judges backend servers by comparison with their pool: slow ones and those that fail are
-/// ejected, a third of a pool at most, and let back in after a probe.
+/// Detection of unhealthy backend servers by comparison with their pool: slow servers and servers
+/// that fail are ejected, at most a third of a pool, and readmitted after a successful probe.
 
-/// Time that one output token, or one call of a plain service, took.
+/// Records the time that one output token, or one call of a plain service, took.
 void observeSpeed(Server &server, Duration taken);
 
-/// What peers need for comparing their servers with these.
+/// Adds the figures with which peers compare their servers to those of this pool.
 void describeHealth(const Pool &pool, PoolSummary &summary);
 
-/// Something came from the server, or was sent to it: the next must come within a while.
+/// Extends the time by which the server must next show progress: a progress report or a dispatch
+/// happened now, and the next report is due `within` plus the stall time.
 void expectProgress(const State &state, Server &server, Duration within);
 
-/// An attempt on an owned server ended well; its request still holds the slot.
+/// Records that an attempt on an owned server succeeded; its request must still hold the slot.
 void observeSuccess(const Request &request);
 
-/// An attempt on an owned server failed; its request still holds the slot.
+/// Records that an attempt on an owned server failed; its request must still hold the slot.
 void observeFailure(State &state, const Request &request);
 
-/// A server on probation that this request may try out; usually null.
+/// A server on probation on which this request may be run as a probe; null when there is none,
+/// which is the usual case.
 Server *serverToProbe(State &state, const Request &request);
 
-/// Frees slots that were kept after fast failures.
+/// Frees slots that were kept occupied after fast failures.
 void endPenalties(State &state);
 
 /// Compares the servers of each pool, about once a second.
--- a/src/snipestall/policy/health_test.cpp
+++ b/src/snipestall/policy/health_test.cpp
@@ -36,8 +36,9 @@
     FakeFleet m_fleet;
 };
 
-// One server of six makes tokens ten times slower (a throttled accelerator). It takes its share of
-// the work, and one caller in six waits ten times as long, until it is compared with the others.
+// One server of six produces tokens ten times slower, as with a throttled accelerator. It gets its
+// share of the work, and one caller in six waits ten times as long, until the server is compared
+// with the others.
 TEST_F(HealthTest, ASlowServerIsEjected)
 {
     backend(1).perToken = 200ms;
@@ -60,9 +61,9 @@
     EXPECT_GE(dispatchedTo(1, m_fleet.now - 20s), 20);
 }
 
-// One server answers each request at once with an error. It always looks idle, so it would draw
-// nearly all the work; at most its own share may go there until it is out.
-TEST_F(HealthTest, AServerThatFailsFastDrawsNoWork)
+// One server answers each request at once with an error. It always looks idle and would get nearly
+// all of the work; it must get at most its own share until it is ejected.
+TEST_F(HealthTest, AServerThatFailsFastGetsNoExtraWork)
 {
     backend(1).result = AttemptResult::Rejected;
     m_fleet.load(15, 30s, [&] { return m_fleet.request("ferries"); });
@@ -77,9 +78,9 @@
     EXPECT_EQ(m_fleet.count([](const Outcome &o) { return !o.completed || o.wait() > 1200ms; }), 0);
 }
 
-// One server freezes with its connections open. Nothing fails there and nothing comes, so its
+// One server freezes with its connections open. No attempt fails there and no token arrives, so its
 // callers would wait until their deadlines.
-TEST_F(HealthTest, WhatAFrozenServerHeldIsAnsweredElsewhere)
+TEST_F(HealthTest, RequestsOnAFrozenServerAreAnsweredElsewhere)
 {
     m_fleet.load(10, 5s, [&] { return m_fleet.request("ferries"); });
     backend(1).frozen = true;
@@ -90,8 +91,8 @@
               0);
 }
 
-// Half of the pool turns slow. Ejecting all of it would put its load on the other half; a third
-// is out at most, the rest still serves.
+// Half of the pool becomes slow. Ejecting all slow servers would put their load on the other half,
+// so at most a third is ejected and the rest keeps serving.
 TEST_F(HealthTest, AtMostAThirdOfAPoolIsEjected)
 {
     for (std::uint64_t server = 1; server <= 3; ++server)
@@ -104,8 +105,8 @@
     EXPECT_EQ(fewest, 4U);
 }
 
-// A caller sends nothing but requests that every server rejects. Judged by failures alone all
-// servers would be out, and all other callers with them.
+// A caller sends only requests that every server rejects. By failures alone all servers would be
+// ejected, and no other caller would be served.
 TEST_F(HealthTest, RequestsThatAllServersRejectEjectNone)
 {
     for (std::uint64_t server = 1; server <= 6; ++server)
--- a/src/snipestall/policy/isolation.cpp
+++ b/src/snipestall/policy/isolation.cpp
@@ -10,21 +10,21 @@
 namespace snipestall::policy {
 namespace {
 
-/// Load: one death makes suspects of all its neighbours. A third of the pool at most is emptied
-/// for them; the rest goes on serving.
-constexpr std::size_t LargestPart = 3;
+/// One death makes suspects of all requests that ran on the server. At most a third of the pool is
+/// emptied for them; the rest keeps serving.
+constexpr std::size_t MaxIsolatedDivisor = 3;
 
 QueuedRequest entryOf(Request &request)
 {
     return { { request.startBy, request.handle.value }, &request };
 }
 
-std::size_t mostIsolated(const Pool &pool)
+std::size_t maxIsolated(const Pool &pool)
 {
-    return std::max<std::size_t>(1, pool.servers.size() / LargestPart);
+    return std::max<std::size_t>(1, pool.servers.size() / MaxIsolatedDivisor);
 }
 
-void reserve(State &state, Pool &pool, Server &server)
+void reserveServer(State &state, Pool &pool, Server &server)
 {
     Request &request = *pool.suspects.begin()->request;
     pool.suspects.erase(pool.suspects.begin());
@@ -32,10 +32,10 @@
     server.suspect = &request;
     pool.isolated.insert(server.handle);
     pool.index.update(server);
-    state.touch(pool);
+    state.markChanged(pool);
 }
 
-void startReady(State &state, Pool &pool)
+void startIsolated(State &state, Pool &pool)
 {
     for (const ServerHandle handle : pool.isolated) {
         Server &server = *state.findServer(handle);
@@ -52,7 +52,7 @@
     server.suspect = nullptr;
     server.pool->isolated.erase(server.handle);
     server.pool->index.update(server);
-    state.touch(*server.pool);
+    state.markChanged(*server.pool);
 }
 
 } // namespace
@@ -62,30 +62,30 @@
     request.phase = Phase::Suspect;
     request.pool->suspects.insert(entryOf(request));
     state.giveUps.add(request.giveUpAt, request.handle);
-    state.touch(*request.pool);
+    state.markChanged(*request.pool);
 }
 
 void placeSuspects(State &state, Pool &pool)
 {
-    while (!pool.suspects.empty() && pool.isolated.size() < mostIsolated(pool)) {
+    while (!pool.suspects.empty() && pool.isolated.size() < maxIsolated(pool)) {
         Server *server = pool.index.pick(state.now, 0);
         if (!server)
             break;
-        reserve(state, pool, *server);
+        reserveServer(state, pool, *server);
     }
-    startReady(state, pool);
+    startIsolated(state, pool);
 }
 
-void absolveRecent(State &state, Pool &pool)
+void clearRecentSuspects(State &state, Pool &pool)
 {
-    std::vector<Request *> absolved;
+    std::vector<Request *> cleared;
     for (const QueuedRequest &suspect : pool.suspects) {
         if (suspect.request->crashes == 1
-            && DeathWindow::within(state.now, suspect.request->crashedAt))
-            absolved.push_back(suspect.request);
+            && DeathWindow::isRecent(state.now, suspect.request->crashedAt))
+            cleared.push_back(suspect.request);
     }
-    for (Request *request : absolved) {
-        withdraw(state, *request);
+    for (Request *request : cleared) {
+        leavePhase(state, *request);
         state.crashes.clear(request->fingerprint);
         request->crashes = 0;
         enqueue(state, *request);
@@ -104,7 +104,7 @@
         request.server = nullptr;
 }
 
-void abandonIsolation(State &state, Server &server)
+void cancelIsolation(State &state, Server &server)
 {
     Request *request = server.suspect;
     if (!request || request->phase != Phase::Suspect)
--- a/src/snipestall/policy/isolation.hpp
+++ b/src/snipestall/policy/isolation.hpp
@@ -7,22 +7,24 @@
 struct Server;
 struct State;
 
-/// Runs requests suspected of crashing backend servers alone, each on a server that is emptied
-/// for it, so that a second death takes no neighbour along and names its cause.
+/// Runs each request that is suspected of crashing backend servers alone, on a server that is
+/// emptied for it, so that a second death affects no other request and identifies its cause.
 
-/// Puts a suspect in line for a server of its own.
+/// Queues a suspect for a server of its own.
 void isolate(State &state, Request &request);
 
-/// Empties servers for suspects and starts those whose server is empty.
+/// Reserves servers for suspects and dispatches those whose server is empty.
 void placeSuspects(State &state, Pool &pool);
 
-/// Many servers died at once: what was suspected because of the first of them is queued again.
-void absolveRecent(State &state, Pool &pool);
+/// Queues those suspects again that were suspected because of the first of many simultaneous deaths
+/// of servers.
+void clearRecentSuspects(State &state, Pool &pool);
 
-/// The suspect ends or leaves the line: its server is open to others again.
+/// Removes a suspect that ends or changes phase, and opens its server to other requests.
 void releaseIsolation(State &state, Request &request);
 
-/// The server takes no new work: a suspect that waits for it needs another one.
-void abandonIsolation(State &state, Server &server);
+/// Returns a suspect that waits for this server to the queue of suspects, because the server takes
+/// no new work.
+void cancelIsolation(State &state, Server &server);
 
 } // namespace snipestall::policy
--- a/src/snipestall/policy/lifecycle.cpp
+++ b/src/snipestall/policy/lifecycle.cpp
@@ -3,8 +3,8 @@
 #include "snipestall/policy/health.hpp"
 #include "snipestall/policy/isolation.hpp"
 #include "snipestall/policy/request.hpp"
-#include "snipestall/policy/shifting.hpp"
 #include "snipestall/policy/state.hpp"
+#include "snipestall/policy/stream_move.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -12,61 +12,64 @@
 namespace snipestall::policy {
 namespace {
 
-/// A prompt token takes about an eighth of the engine's time that an output token takes, since
-/// prompts run in large batches.
+/// A prompt token takes about an eighth of the engine time of an output token, because prompts run
+/// in large batches.
 constexpr double PromptTokenCost = 0.125;
 
-/// Every request costs something, or calls without tokens would be free in the fair shares.
-constexpr double LeastCost = 1.0;
+/// Every request has a cost, because calls without tokens would otherwise be free in the fair
+/// shares.
+constexpr double MinCost = 1.0;
 
-/// Patient work becomes pressing a quarter of its own time before its latest start.
-constexpr int PatientMargin = 4;
+/// Patient work is due a quarter of its own slot time before its latest start.
+constexpr int PatientMarginDivisor = 4;
 
-/// Estimates are off by some; a queued request is given up on once less than this part of its
-/// estimated time is left. Higher, and half of what is given up on would have made it; lower, and
-/// a full pool spends its slots on answers that all come just too late.
-constexpr double LeastPartLeft = 0.9;
+/// Estimates are imprecise, so a queued request is given up only once less than this fraction of
+/// its estimated time is left. With a higher fraction, half of the requests given up would have met
+/// their deadline; with a lower one, a full pool spends its slots on answers that all come just too
+/// late.
+constexpr double MinTimeLeftFraction = 0.9;
 
 Time startByOf(const Request &request)
 {
-    const Time latestStart = request.deadline - request.service;
+    const Time latestStart = request.deadline - request.slotTime;
     if (request.urgency == Urgency::Patient)
-        return latestStart - request.service / PatientMargin;
+        return latestStart - request.slotTime / PatientMarginDivisor;
     return std::min<Time>(latestStart, request.arrived + request.flow->leaf.firstTokenTarget);
 }
 
 void setTimes(Request &request)
 {
     request.startBy = startByOf(request);
-    const auto leastLeft = LeastPartLeft * std::chrono::duration<double>(request.service);
-    request.giveUpAt = request.deadline - std::chrono::duration_cast<Duration>(leastLeft);
-    // What another instance accepted is given up on only when its caller's deadline has passed.
+    const auto minTimeLeft = MinTimeLeftFraction * std::chrono::duration<double>(request.slotTime);
+    request.giveUpAt = request.deadline - std::chrono::duration_cast<Duration>(minTimeLeft);
+    // A request that another instance accepted is given up only when its caller's deadline has
+    // passed.
     if (request.accepted)
         request.giveUpAt = request.deadline;
 }
 
-/// Time until the first sign of life of an attempt, generously.
-Duration expectedSilence(const Request &request)
+/// Generous time until an attempt should first report progress.
+Duration firstProgressTimeout(const Request &request)
 {
-    constexpr int Generously = 4;
+    constexpr int SafetyFactor = 4;
     const bool plain = request.maxTokens == 0;
     const Duration usual =
-        plain ? request.service : request.pool->serviceTime.prompt(request.promptTokens);
-    return Generously * usual;
+        plain ? request.slotTime : request.pool->serviceTime.promptTime(request.promptTokens);
+    return SafetyFactor * usual;
 }
 
 void releaseSlot(State &state, Request &request)
 {
     releaseIsolation(state, request);
-    forgetMove(request);
+    cancelMove(request);
     endImport(request);
     Server &server = *request.server;
     server.requests.erase(request.handle.value);
-    server.runningOther -= request.shortUrgent ? 0 : 1;
+    server.runningNonUrgent -= request.shortUrgent ? 0 : 1;
     server.runningPatient -= request.urgency == Urgency::Patient ? 1 : 0;
     request.server = nullptr;
     server.pool->index.update(server);
-    state.touch(*server.pool);
+    state.markChanged(*server.pool);
     if (!server.gone || server.running() > 0)
         return;
     server.pool->index.erase(server);
@@ -75,7 +78,7 @@
     state.servers.erase(server.handle);
 }
 
-void occupy(State &state, Request &request, Server &server)
+void occupySlot(State &state, Request &request, Server &server)
 {
     request.phase = Phase::Running;
     request.attempt = state.newAttempt();
@@ -85,9 +88,9 @@
     request.firstTokenSeen = false;
     server.requests.insert(request.handle.value);
     server.peak = std::max(server.peak, server.running());
-    server.runningOther += request.shortUrgent ? 0 : 1;
+    server.runningNonUrgent += request.shortUrgent ? 0 : 1;
     server.runningPatient += request.urgency == Urgency::Patient ? 1 : 0;
-    expectProgress(state, server, expectedSilence(request));
+    expectProgress(state, server, firstProgressTimeout(request));
     server.pool->index.update(server);
 }
 
@@ -98,8 +101,8 @@
     request.expectedOutput = request.maxTokens * request.flow->outputFraction;
     const double output = std::max(0.0, request.expectedOutput - request.produced);
     const double prompt = static_cast<double>(request.promptTokens) + request.produced;
-    request.cost = std::max(LeastCost, PromptTokenCost * prompt + output);
-    request.service = request.pool->serviceTime.estimate(prompt, output);
+    request.cost = std::max(MinCost, PromptTokenCost * prompt + output);
+    request.slotTime = request.pool->serviceTime.estimate(prompt, output);
     setTimes(request);
 }
 
@@ -108,7 +111,7 @@
     request.phase = Phase::Queued;
     request.pool->queue.push(request);
     state.giveUps.add(request.giveUpAt, request.handle);
-    state.touch(*request.pool);
+    state.markChanged(*request.pool);
 }
 
 void delay(State &state, Request &request, Duration wait)
@@ -121,16 +124,16 @@
 
 void dispatch(State &state, Request &request, Server &server)
 {
-    occupy(state, request, server);
+    occupySlot(state, request, server);
     state.emit(Dispatch { request.handle, request.attempt, server.handle });
 }
 
 void moveTo(State &state, Request &request, Server &target, MoveMethod method)
 {
     const AttemptHandle from = request.attempt;
-    withdraw(state, request);
+    leavePhase(state, request);
     estimate(request);
-    occupy(state, request, target);
+    occupySlot(state, request, target);
     request.importing = true;
     ++target.imports;
     state.emit(MoveStream { request.handle, from, request.attempt, target.handle, method });
@@ -144,11 +147,11 @@
     request.dispatchedAt = state.now;
     request.lastTokenAt = state.now;
     ++request.forwards;
-    state.peers.countForward(peer, request.pool->service, request.service);
+    state.peers.recordForward(peer, request.pool->service, request.slotTime);
     state.emit(ForwardTo { request.handle, request.attempt, peer });
 }
 
-void withdraw(State &state, Request &request)
+void leavePhase(State &state, Request &request)
 {
     switch (request.phase) {
     case Phase::Queued:
@@ -175,8 +178,8 @@
 
 void finish(State &state, Request &request)
 {
-    withdraw(state, request);
-    --request.flow->live;
+    leavePhase(state, request);
+    --request.flow->activeRequests;
     state.requests.erase(request.handle);
 }
 
--- a/src/snipestall/policy/limits.cpp
+++ b/src/snipestall/policy/limits.cpp
@@ -9,14 +9,14 @@
 namespace snipestall::policy {
 namespace {
 
-/// Load: callers that send in bursts (a newsroom before its presses close). Two seconds of the
-/// rate pass at once; more, and a burst fills the queue for everybody.
+/// Callers send in bursts, as a newsroom does before its presses close. Two seconds' worth of the
+/// rate may pass at once; a larger burst would fill the queue for all customers.
 constexpr double BurstSeconds = 2.0;
 
-/// A limit in force lets at least one request through.
-constexpr double LeastBurst = 1.0;
+/// A limit above zero lets at least one request through.
+constexpr double MinBurst = 1.0;
 
-/// When a request in progress will end is not known; a typical one does within this time.
+/// The end of a running request is unknown; a typical request ends within this time.
 constexpr Duration ConcurrencyRetry = std::chrono::seconds(1);
 
 double tokensOf(const Request &request)
@@ -24,9 +24,9 @@
     return request.promptTokens + request.expectedOutput;
 }
 
-std::uint32_t concurrencyOf(const State &state, const Flow &flow)
+std::uint32_t concurrencyShare(const State &state, const Flow &flow)
 {
-    const std::uint32_t instances = 1 + state.peers.countIn(state.dataCentre);
+    const std::uint32_t instances = 1 + state.peers.peersIn(state.dataCentre);
     return (flow.leaf.concurrency + instances - 1) / instances;
 }
 
@@ -41,13 +41,13 @@
     const Duration tokenWait = flow.tokenBucket.waitFor(state.now, tokensOf(request));
     if (tokenWait > Duration::zero())
         return LimitReached { RefusalReason::TokenLimit, tokenWait };
-    // The request itself counts as live already.
-    if (flow.live > concurrencyOf(state, flow))
+    // The request itself is already counted as active.
+    if (flow.activeRequests > concurrencyShare(state, flow))
         return LimitReached { RefusalReason::ConcurrencyLimit, ConcurrencyRetry };
     return std::nullopt;
 }
 
-void takeLimits(State &state, Request &request)
+void chargeLimits(State &state, Request &request)
 {
     Flow &flow = *request.flow;
     flow.requestBucket.take(state.now, 1.0);
@@ -56,11 +56,11 @@
 
 void configureLimits(const State &state, Flow &flow)
 {
-    const double instances = 1.0 + state.peers.countIn(state.dataCentre);
+    const double instances = 1.0 + state.peers.peersIn(state.dataCentre);
     const double requests = flow.leaf.requestsPerSecond / instances;
     const double tokens = flow.leaf.tokensPerSecond / instances;
-    flow.requestBucket.configure(requests, std::max(LeastBurst, requests * BurstSeconds));
-    flow.tokenBucket.configure(tokens, std::max(LeastBurst, tokens * BurstSeconds));
+    flow.requestBucket.configure(requests, std::max(MinBurst, requests * BurstSeconds));
+    flow.tokenBucket.configure(tokens, std::max(MinBurst, tokens * BurstSeconds));
 }
 
 } // namespace snipestall::policy
--- a/src/snipestall/policy/limits.hpp
+++ b/src/snipestall/policy/limits.hpp
@@ -17,12 +17,13 @@
     Duration wait {};
 };
 
-/// This instance's part of the customer's limits on the service; nothing is taken yet.
+/// Checks the request against this instance's part of the customer's limits on the service, without
+/// charging anything.
 std::optional<LimitReached> checkLimit(const State &state, const Request &request);
 
-void takeLimits(State &state, Request &request);
+void chargeLimits(State &state, Request &request);
 
-/// Puts the limits of the flow's leaf in force, divided over the instances of the data centre.
+/// Applies the limits of the flow's leaf, divided over the instances of the data centre.
 void configureLimits(const State &state, Flow &flow);
 
 } // namespace snipestall::policy
--- a/src/snipestall/policy/offered_load.hpp
+++ b/src/snipestall/policy/offered_load.hpp
@@ -7,24 +7,26 @@
 
 namespace snipestall::policy {
 
-/// Slots that a kind of work keeps busy on average: slot time asked for over the last seconds.
+/// Average number of slots that a kind of work keeps busy, from the slot time asked for in the last
+/// seconds.
 class OfferedLoad
 {
 public:
-    void add(Time now, Duration service)
+    void add(Time now, Duration slotTime)
     {
-        m_load = at(now) + seconds(service) / MemorySeconds;
+        m_load = at(now) + seconds(slotTime) / TimeConstantSeconds;
         m_changedAt = now;
     }
 
     [[nodiscard]] double at(Time now) const
     {
-        return m_load * std::exp(-seconds(now - m_changedAt) / MemorySeconds);
+        return m_load * std::exp(-seconds(now - m_changedAt) / TimeConstantSeconds);
     }
 
 private:
-    /// Follows a burst within seconds, and doesn't fall between two requests.
-    static constexpr double MemorySeconds = 5.0;
+    /// Short enough to follow a burst within seconds, and long enough that the load doesn't fall
+    /// between two requests.
+    static constexpr double TimeConstantSeconds = 5.0;
 
     static double seconds(Duration duration)
     {
--- a/src/snipestall/policy/outcomes.cpp
+++ b/src/snipestall/policy/outcomes.cpp
@@ -4,8 +4,8 @@
 #include "snipestall/policy/health.hpp"
 #include "snipestall/policy/lifecycle.hpp"
 #include "snipestall/policy/retry.hpp"
-#include "snipestall/policy/shifting.hpp"
 #include "snipestall/policy/state.hpp"
+#include "snipestall/policy/stream_move.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -22,7 +22,7 @@
 {
     request.firstTokenSeen = true;
     endImport(request);
-    state.touch(*request.pool);
+    state.markChanged(*request.pool);
     const Duration taken = state.now - request.dispatchedAt;
     request.pool->serviceTime.learnFirstToken(request.promptTokens, taken);
 }
@@ -48,8 +48,9 @@
     serviceTime.learnPlainCall(taken);
 }
 
-/// The estimate was charged when the request was served; what it really took is known now.
-void settle(Request &request)
+/// Corrects the charges of the request's flow: the estimate was charged when the request was
+/// served, and the actual cost is known now.
+void settleCharges(Request &request)
 {
     if (request.maxTokens == 0)
         return;
@@ -57,7 +58,7 @@
     const double actual = request.produced;
     request.pool->queue.settle(flow, actual - request.expectedOutput);
     if (!request.forwarded)
-        flow.tokenBucket.giveBack(request.expectedOutput - actual);
+        flow.tokenBucket.refund(request.expectedOutput - actual);
     const double fraction = std::min(1.0, actual / request.maxTokens);
     flow.outputFraction += LengthGain * (fraction - flow.outputFraction);
 }
@@ -69,8 +70,8 @@
     if (request.promptTokens + request.maxTokens == 0)
         learnPlainCall(state, request);
     observeSuccess(request);
-    settle(request);
-    // It ran to its end with nothing beside it: the deaths before had another cause.
+    settleCharges(request);
+    // The request ran to its end alone on a server, so the deaths before had another cause.
     if (request.crashes > 0)
         state.crashes.clear(request.fingerprint);
 }
--- a/src/snipestall/policy/peer_table.cpp
+++ b/src/snipestall/policy/peer_table.cpp
@@ -7,17 +7,17 @@
 namespace snipestall::policy {
 namespace {
 
-/// Summaries come each second; after three missed ones nothing in them is believed.
+/// Summaries arrive every second; after three missed ones the last one is ignored.
 constexpr Duration SummaryLifetime = std::chrono::seconds(3);
 
-/// Free slots believed of a fresh summary; the rest is left to the owner's own arrivals, which
-/// know those slots without a hop.
-constexpr double BelievedShare = 0.8;
+/// Share of the free slots in a fresh summary that may be used; the rest is left to requests that
+/// arrive at the owner itself, which uses those slots without a hop.
+constexpr double TrustedShare = 0.8;
 
-/// A wait that was told grows with its age by this part: in a second many senders read it.
-constexpr int AgePart = 4;
+/// A reported wait grows by a quarter of its age, because many senders read it within a second.
+constexpr int AgeDivisor = 4;
 
-Duration toldWait(const PoolSummary &summary, Lane lane)
+Duration reportedWait(const PoolSummary &summary, Lane lane)
 {
     switch (lane) {
     case Lane::Urgent:
@@ -44,7 +44,7 @@
     m_dataCentres[summary.peer] = summary.dataCentre;
     for (const PoolSummary &pool : summary.pools) {
         Offer offer;
-        offer.heardAt = now;
+        offer.receivedAt = now;
         offer.summary = pool;
         std::sort(offer.summary.prefixSketch.begin(), offer.summary.prefixSketch.end());
         m_offers[pool.service].insert_or_assign(summary.peer, offer);
@@ -73,8 +73,8 @@
     return choice;
 }
 
-std::optional<PeerHandle> PeerTable::holder(Time now, std::string_view service, Lane lane,
-                                            std::uint32_t prefixKey) const
+std::optional<PeerHandle> PeerTable::peerWithPrefix(Time now, std::string_view service, Lane lane,
+                                                    std::uint32_t prefixKey) const
 {
     const auto it = m_offers.find(service);
     if (it == m_offers.end())
@@ -90,22 +90,22 @@
 
 std::optional<Duration> PeerTable::expectedWait(const Offer &offer, Time now, Lane lane)
 {
-    const Duration age = now - offer.heardAt;
+    const Duration age = now - offer.receivedAt;
     const PoolSummary &summary = offer.summary;
     if (offer.declined || summary.servers == 0 || age >= SummaryLifetime)
         return std::nullopt;
     const bool urgent = lane == Lane::Urgent;
     const std::uint32_t freeSlots =
         urgent ? std::max(summary.urgentFreeSlots, summary.freeSlots) : summary.freeSlots;
-    const double believed = BelievedShare * freshness(age) * freeSlots;
-    if (believed - offer.sent >= 1)
+    const double trusted = TrustedShare * freshness(age) * freeSlots;
+    if (trusted - offer.sent >= 1)
         return Duration::zero();
-    const Duration told = toldWait(summary, lane);
-    const Duration queuedSince = offer.sentService / std::max(1U, summary.servers);
-    return std::max(told, Duration(1)) + age / AgePart + queuedSince;
+    const Duration reported = reportedWait(summary, lane);
+    const Duration queuedSince = offer.sentSlotTime / std::max(1U, summary.servers);
+    return std::max(reported, Duration(1)) + age / AgeDivisor + queuedSince;
 }
 
-std::vector<const PoolSummary *> PeerTable::fresh(Time now, std::string_view service) const
+std::vector<const PoolSummary *> PeerTable::freshSummaries(Time now, std::string_view service) const
 {
     std::vector<const PoolSummary *> summaries;
     const auto it = m_offers.find(service);
@@ -113,28 +113,28 @@
         return summaries;
     summaries.reserve(it->second.size());
     for (const auto &[peer, offer] : it->second) {
-        if (now - offer.heardAt < SummaryLifetime)
+        if (now - offer.receivedAt < SummaryLifetime)
             summaries.push_back(&offer.summary);
     }
     return summaries;
 }
 
-void PeerTable::countForward(PeerHandle peer, std::string_view service, Duration requestService)
+void PeerTable::recordForward(PeerHandle peer, std::string_view service, Duration slotTime)
 {
     Offer *offer = find(peer, service);
     if (!offer)
         return;
     ++offer->sent;
-    offer->sentService += requestService;
+    offer->sentSlotTime += slotTime;
 }
 
-void PeerTable::countDecline(PeerHandle peer, std::string_view service)
+void PeerTable::recordDecline(PeerHandle peer, std::string_view service)
 {
     if (Offer *offer = find(peer, service))
         offer->declined = true;
 }
 
-std::uint32_t PeerTable::countIn(std::string_view dataCentre) const
+std::uint32_t PeerTable::peersIn(std::string_view dataCentre) const
 {
     const auto isThere = [&](const auto &peer) { return peer.second == dataCentre; };
     const auto count = std::count_if(m_dataCentres.begin(), m_dataCentres.end(), isThere);
--- a/src/snipestall/policy/peer_table.hpp
+++ b/src/snipestall/policy/peer_table.hpp
@@ -15,51 +15,54 @@
 
 namespace snipestall::policy {
 
-/// What peers said that they can take, discounted by age and by what was sent since.
+/// Capacity that peers reported, discounted by its age and by the requests sent since.
 ///
-/// Failure: a summary is up to a second old and every instance reads the same one, so all forward
-/// to the peer that was idle a moment ago; it shows as that peer's queue rising in bursts while
-/// others idle. The estimate falls with each forward and with the summary's age, so that one
-/// summary is spent only once by each sender.
+/// Guards against this failure: a summary is up to a second old and every instance reads the same
+/// one, so all of them forward to the peer that was idle a moment ago. That peer's queue then rises
+/// in bursts while other peers idle. The estimate falls with each forward and with the summary's
+/// age, so that each sender uses the capacity of a summary only once.
 class PeerTable
 {
 public:
     struct Choice
     {
         PeerHandle peer;
-        /// Expected wait there; zero when a slot is likely free.
+        /// Expected wait at the peer; zero when a slot is likely free.
         Duration wait {};
     };
 
     void update(Time now, const PeerSummary &summary);
     void erase(PeerHandle peer);
 
-    /// The peer where a request for `service` would start first, if any takes work.
+    /// The peer at which a request for `service` would start first; no value when no peer takes
+    /// work.
     [[nodiscard]] std::optional<Choice> best(Time now, std::string_view service, Lane lane) const;
 
     /// A peer with a free slot that has the prefix in a cache.
-    [[nodiscard]] std::optional<PeerHandle> holder(Time now, std::string_view service, Lane lane,
-                                                   std::uint32_t prefixKey) const;
+    [[nodiscard]] std::optional<PeerHandle>
+    peerWithPrefix(Time now, std::string_view service, Lane lane, std::uint32_t prefixKey) const;
 
-    void countForward(PeerHandle peer, std::string_view service, Duration requestService);
+    void recordForward(PeerHandle peer, std::string_view service, Duration slotTime);
 
-    /// The peer declined: it gets nothing more for `service` before its next summary.
-    void countDecline(PeerHandle peer, std::string_view service);
+    /// Records that the peer declined a request: it gets nothing more for `service` before its next
+    /// summary.
+    void recordDecline(PeerHandle peer, std::string_view service);
 
-    /// Live peers of a data centre.
-    [[nodiscard]] std::uint32_t countIn(std::string_view dataCentre) const;
+    /// Number of live peers in a data centre.
+    [[nodiscard]] std::uint32_t peersIn(std::string_view dataCentre) const;
 
-    /// Summaries of a service that are still believed.
-    [[nodiscard]] std::vector<const PoolSummary *> fresh(Time now, std::string_view service) const;
+    /// Summaries of a service that are recent enough to be used.
+    [[nodiscard]] std::vector<const PoolSummary *> freshSummaries(Time now,
+                                                                  std::string_view service) const;
 
 private:
     struct Offer
     {
-        Time heardAt;
+        Time receivedAt;
         PoolSummary summary;
-        /// Spent since the summary.
+        /// Number of requests sent since the summary.
         std::uint32_t sent = 0;
-        Duration sentService {};
+        Duration sentSlotTime {};
         bool declined = false;
     };
 
--- a/src/snipestall/policy/placing.cpp
+++ b/src/snipestall/policy/placement.cpp
@@ -1,10 +1,10 @@
-#include "snipestall/policy/placing.hpp"
+#include "snipestall/policy/placement.hpp"
 
 #include "snipestall/policy/forwarding.hpp"
 #include "snipestall/policy/health.hpp"
 #include "snipestall/policy/isolation.hpp"
 #include "snipestall/policy/lifecycle.hpp"
-#include "snipestall/policy/prefix_placing.hpp"
+#include "snipestall/policy/prefix_placement.hpp"
 #include "snipestall/policy/state.hpp"
 
 #include <chrono>
@@ -18,13 +18,14 @@
     return { pool.freeFor(Lane::Normal) > 0, pool.freeFor(Lane::Patient) > 0 };
 }
 
-/// Time in a slot that is lost if the server goes away half-way.
+/// Slot time that is lost if the server goes away when half of it has passed.
 double lossSeconds(const Request &request)
 {
-    return std::chrono::duration<double>(request.service).count() / 2;
+    return std::chrono::duration<double>(request.slotTime).count() / 2;
 }
 
-/// Not where the last attempt failed, unless no other server has a free slot.
+/// The least loaded server, but not the one where the last attempt failed, unless no other server
+/// has a free slot.
 Server *leastLoaded(const State &state, const Request &request)
 {
     const ServerIndex &index = request.pool->index;
@@ -49,7 +50,7 @@
 {
     Pool &pool = *request.pool;
     pool.queue.serve(request);
-    pool.served[indexOf(FairQueue::laneOf(request))].add(state.now, request.service);
+    pool.servedLoad[indexOf(FairQueue::laneOf(request))].add(state.now, request.slotTime);
     if (request.retries == 0)
         pool.retryBudget.earn();
     state.giveUps.remove(request.giveUpAt, request.handle);
@@ -67,7 +68,7 @@
     if (forwardToCache(state, *request))
         return true;
     Server *server = choose(state, *request);
-    if (server->handle == request->failedOn && forwardAway(state, *request))
+    if (server->handle == request->failedOn && forwardToFastestPeer(state, *request))
         return true;
     serve(state, *request, *server);
     return true;
@@ -77,7 +78,7 @@
 
 void placeQueued(State &state)
 {
-    for (const std::string &service : state.touched) {
+    for (const std::string &service : state.changedPools) {
         Pool &pool = state.pool(service);
         pool.now = state.now;
         placeSuspects(state, pool);
@@ -85,9 +86,9 @@
         if (pool.index.totals().slots > 0)
             forwardQueued(state, pool);
         else
-            offerStranded(state, pool);
+            forwardStranded(state, pool);
     }
-    state.touched.clear();
+    state.changedPools.clear();
 }
 
 } // namespace snipestall::policy
--- a/src/snipestall/policy/placing.hpp
+++ b/src/snipestall/policy/placement.hpp
@@ -4,7 +4,7 @@
 
 struct State;
 
-/// Gives queued requests to free slots here, and what can't start here soon to peers.
+/// Dispatches queued requests to free slots here, and forwards to peers what can't start here soon.
 void placeQueued(State &state);
 
 } // namespace snipestall::policy
--- a/src/snipestall/policy/placing_test.cpp
+++ b/src/snipestall/policy/placement_test.cpp
@@ -10,10 +10,10 @@
 using namespace std::chrono_literals;
 using Outcome = FakeFleet::Outcome;
 
-class PlacingTest : public testing::Test
+class PlacementTest : public testing::Test
 {
 protected:
-    PlacingTest()
+    PlacementTest()
     {
         m_fleet.addCustomer("ferries");
         m_fleet.start();
@@ -35,7 +35,7 @@
     FakeFleet m_fleet;
 };
 
-TEST_F(PlacingTest, ARepeatedPrefixGoesWhereItIsCached)
+TEST_F(PlacementTest, ARepeatedPrefixGoesWhereItIsCached)
 {
     for (int i = 0; i < 4; ++i)
         m_fleet.addServer(8);
@@ -47,7 +47,7 @@
     }
 }
 
-TEST_F(PlacingTest, ACacheEventMovesTheNextRequest)
+TEST_F(PlacementTest, ACacheEventMovesTheNextRequest)
 {
     m_fleet.addServer(8);
     const ServerHandle second = m_fleet.addServer(8);
@@ -55,9 +55,9 @@
     EXPECT_EQ(serverOf(m_fleet.send(withPrefix(500))), second.value);
 }
 
-// Half of a full load shares one prompt. Were each of these sent to its one holder, that server
-// would queue while the others idle.
-TEST_F(PlacingTest, AHotPrefixSpreadsBeforeItsHolderIsFull)
+// Half of a full load shares one prompt. If all of these requests went to the one server that holds
+// the prefix, they would queue there while the other servers idle.
+TEST_F(PlacementTest, AHotPrefixSpreadsBeforeItsHolderIsFull)
 {
     for (int i = 0; i < 4; ++i)
         m_fleet.addServer(8);
@@ -76,7 +76,7 @@
     EXPECT_LE(homes.size(), 4U);
 }
 
-TEST_F(PlacingTest, LongWorkPrefersTheClassThatIsNotReclaimed)
+TEST_F(PlacementTest, LongWorkPrefersTheClassThatIsNotReclaimed)
 {
     m_fleet.settings->classes.push_back({ "samsun-hall", "spot", true, 0.3, 12.0 });
     m_fleet.settings->classes.push_back({ "samsun-hall", "demand", false, 1.0, 0.0 });
@@ -91,9 +91,9 @@
     EXPECT_EQ(serverOf(m_fleet.send(m_fleet.request("ferries"))), spot.value);
 }
 
-// The more requests run side by side, the slower each token. Filled to its slots, the engine
-// makes 41 ms a token where 35 are promised, for every stream on it.
-TEST_F(PlacingTest, ConcurrencyFallsUntilTokensComeInTime)
+// The more requests run concurrently, the slower each token is. With all slots in use, the engine
+// takes 41 ms per token where the target is 35 ms, for every stream on it.
+TEST_F(PlacementTest, ConcurrencyFallsUntilTokensMeetTheTarget)
 {
     const ServerHandle server = m_fleet.addServer(8);
     m_fleet.servers[server.value].crowding = 0.15;
@@ -114,7 +114,7 @@
     EXPECT_LE(late, all / 10);
 }
 
-TEST_F(PlacingTest, ConcurrencyOfAFastServerStaysAtItsSlots)
+TEST_F(PlacementTest, ConcurrencyOfAFastServerStaysAtItsSlots)
 {
     const ServerHandle server = m_fleet.addServer(8);
     m_fleet.load(8, 30s, [&] { return m_fleet.request("ferries", Urgency::Urgent); });
@@ -122,9 +122,9 @@
     EXPECT_EQ(m_fleet.world->summaries(m_fleet.now).front().freeSlots, 0U);
 }
 
-// Ownership of a server moves, and for a moment its former owner's requests still run there. The
-// new owner knows nothing of them; only the server's report tells.
-TEST_F(PlacingTest, AReportOfForeignWorkTakesSlotsAway)
+// Ownership of a server moves, and for a moment requests of the former owner still run there. The
+// new owner knows of them only from the server's report.
+TEST_F(PlacementTest, AReportOfForeignWorkTakesSlotsAway)
 {
     const ServerHandle server = m_fleet.addServer(4);
     m_fleet.give(ServerReport { server, 3, 0, 100ms });
@@ -135,8 +135,9 @@
     EXPECT_EQ(m_fleet.servers[server.value].dispatched, 3U);
 }
 
-// A report lags or lies: it says idle while every slot is taken. Believed, it would overfill.
-TEST_F(PlacingTest, AReportOfAnIdleServerAddsNoSlots)
+// A report lags or is wrong: it says that the server is idle while every slot is in use. If the
+// policy relied on it, the server would be overfilled.
+TEST_F(PlacementTest, AReportOfAnIdleServerAddsNoSlots)
 {
     const ServerHandle server = m_fleet.addServer(2);
     for (int i = 0; i < 3; ++i)
--- a/src/snipestall/policy/planned_move.hpp
+++ b/src/snipestall/policy/planned_move.hpp
@@ -7,7 +7,8 @@
 
 struct Request;
 
-/// A stream that is to leave its backend server; what costs most to recompute goes first.
+/// A stream that is to be moved off its backend server. The stream that costs most to recompute is
+/// ordered first.
 struct PlannedMove
 {
     std::uint32_t cost = 0;
--- a/src/snipestall/policy/pool.hpp
+++ b/src/snipestall/policy/pool.hpp
@@ -28,32 +28,33 @@
     std::string service;
     settings::ServiceSettings settings;
     /// False while the settings in force don't name the service.
-    bool known = false;
+    bool configured = false;
 
     FairQueue queue;
     ServerIndex index;
     std::map<ServerHandle, Server *> servers;
     std::map<std::string, std::unique_ptr<Flow>, std::less<>> flows;
     ServiceTime serviceTime;
-    /// Of short urgent and of normal work, and the time up to which it is reckoned.
+    /// Offered load of short urgent and of normal work, and the time at which both are evaluated.
     OfferedLoad urgentLoad;
     OfferedLoad normalLoad;
     Time now;
-    /// When the normal work refused so far could have been served, had it waited outside.
-    Time returnsEnd;
-    /// Slots that each lane's work was given of late.
-    std::array<OfferedLoad, LaneCount> served;
+    /// Time at which the normal work refused so far could be served if it had waited outside the
+    /// queue and returned in order.
+    Time refusedBacklogEnd;
+    /// Slots recently used by the work of each lane.
+    std::array<OfferedLoad, LaneCount> servedLoad;
     PrefixIndex prefixes;
     PrefixHeat heat;
 
-    /// Streams that wait for a place away from a server under notice.
+    /// Streams that wait to be moved off a server under notice.
     std::set<PlannedMove> moves;
 
     RetryBudget retryBudget;
     DeathWindow deaths;
-    /// The last backend server died without notice, and none has come since.
-    bool deserted = false;
-    /// Suspects without a server, and the servers kept for others.
+    /// The last backend server died without notice, and none has come up since.
+    bool lostLastServer = false;
+    /// Suspects that have no server yet, and the servers reserved for other suspects.
     std::set<QueuedRequest> suspects;
     std::set<ServerHandle> isolated;
     /// Servers on probation.
@@ -61,9 +62,9 @@
 
     /// Slots that only short urgent work may use.
     [[nodiscard]] std::uint32_t reservedSlots() const;
-    /// Slots that work of a lane can count on.
+    /// Slots that the work of a lane can count on.
     [[nodiscard]] std::uint32_t slotsFor(Lane lane) const;
-    /// Of these, the free ones.
+    /// Slots that are free for the work of a lane.
     [[nodiscard]] std::uint32_t freeFor(Lane lane) const;
 };
 
--- a/src/snipestall/policy/prefix_heat.cpp
+++ b/src/snipestall/policy/prefix_heat.cpp
@@ -6,13 +6,13 @@
 namespace snipestall::policy {
 namespace {
 
-/// More than the hottest few are never told.
-constexpr std::size_t MaxCounted = 1024;
+/// No more are needed, because only the few most used prefixes are reported.
+constexpr std::size_t MaxCountedPrefixes = 1024;
 
-/// Not seen for some seconds.
-constexpr double Cold = 0.05;
+/// A prefix whose count falls below this has not been seen for some seconds.
+constexpr double MinKeptCount = 0.05;
 
-constexpr double KeptPart = 0.9;
+constexpr double DecayFactor = 0.9;
 
 } // namespace
 
@@ -21,9 +21,9 @@
     return prefix.empty() ? 0 : static_cast<std::uint32_t>(prefix.front());
 }
 
-void PrefixHeat::touch(std::span<const std::uint64_t> prefix)
+void PrefixHeat::record(std::span<const std::uint64_t> prefix)
 {
-    const bool full = m_counts.size() >= MaxCounted && !m_counts.contains(keyOf(prefix));
+    const bool full = m_counts.size() >= MaxCountedPrefixes && !m_counts.contains(keyOf(prefix));
     if (!prefix.empty() && !full)
         m_counts[keyOf(prefix)] += 1;
 }
@@ -31,18 +31,18 @@
 void PrefixHeat::decay()
 {
     for (auto &[key, count] : m_counts)
-        count *= KeptPart;
-    std::erase_if(m_counts, [](const auto &entry) { return entry.second < Cold; });
+        count *= DecayFactor;
+    std::erase_if(m_counts, [](const auto &entry) { return entry.second < MinKeptCount; });
 }
 
-std::vector<std::uint32_t> PrefixHeat::hottest(std::size_t most) const
+std::vector<std::uint32_t> PrefixHeat::hottest(std::size_t maxResults) const
 {
     std::vector<std::pair<double, std::uint32_t>> byCount;
     byCount.reserve(m_counts.size());
     for (const auto &[key, count] : m_counts)
         byCount.emplace_back(-count, key);
     std::sort(byCount.begin(), byCount.end());
-    byCount.resize(std::min(most, byCount.size()));
+    byCount.resize(std::min(maxResults, byCount.size()));
     std::vector<std::uint32_t> keys;
     keys.reserve(byCount.size());
     for (const auto &[count, key] : byCount)
--- a/src/snipestall/policy/prefix_heat.hpp
+++ b/src/snipestall/policy/prefix_heat.hpp
@@ -8,18 +8,19 @@
 
 namespace snipestall::policy {
 
-/// How often prompts began with which prefix of late; tells peers what is worth sending here.
+/// How often recent prompts began with each prefix. Peers use the result to choose which requests
+/// to forward here.
 class PrefixHeat
 {
 public:
-    void touch(std::span<const std::uint64_t> prefix);
-    /// Forgets half of what was counted; called about once a second.
+    void record(std::span<const std::uint64_t> prefix);
+    /// Multiplies every count by 0.9; called about once a second.
     void decay();
 
-    /// Low 32 bits of the hottest prefixes, sorted by value.
-    [[nodiscard]] std::vector<std::uint32_t> hottest(std::size_t most) const;
+    /// Low 32 bits of the most used prefixes, at most `maxResults` of them, sorted by value.
+    [[nodiscard]] std::vector<std::uint32_t> hottest(std::size_t maxResults) const;
 
-    /// The part of a prompt that peers are told of.
+    /// The part of a prompt's prefix that is reported to peers.
     static std::uint32_t keyOf(std::span<const std::uint64_t> prefix);
 
 private:
--- a/src/snipestall/policy/prefix_index.cpp
+++ b/src/snipestall/policy/prefix_index.cpp
@@ -6,11 +6,13 @@
 namespace snipestall::policy {
 namespace {
 
-/// What a server's limited cache holds of distinct prefixes, and about 16 KB for each server here.
-constexpr std::size_t PrefixesPerServer = 512;
+/// About the number of distinct prefixes that a server's limited cache holds; takes about 16 KB for
+/// each server here.
+constexpr std::size_t MaxPrefixesPerServer = 512;
 
-/// A hot prefix needs a few homes, not all: more would push other prefixes out everywhere.
-constexpr std::size_t HoldersPerPrefix = 8;
+/// A popular prefix needs only a few holders: with more, it would evict other prefixes from the
+/// caches of all servers.
+constexpr std::size_t MaxHoldersPerPrefix = 8;
 
 } // namespace
 
@@ -19,12 +21,12 @@
     std::vector<ServerHandle> &holders = m_holders[prefix];
     if (std::find(holders.begin(), holders.end(), server) != holders.end())
         return;
-    if (holders.size() == HoldersPerPrefix)
+    if (holders.size() == MaxHoldersPerPrefix)
         holders.erase(holders.begin());
     holders.push_back(server);
     std::deque<std::uint64_t> &prefixes = m_prefixes[server];
     prefixes.push_back(prefix);
-    if (prefixes.size() <= PrefixesPerServer)
+    if (prefixes.size() <= MaxPrefixesPerServer)
         return;
     const std::uint64_t oldest = prefixes.front();
     prefixes.pop_front();
--- a/src/snipestall/policy/prefix_index.hpp
+++ b/src/snipestall/policy/prefix_index.hpp
@@ -12,14 +12,15 @@
 
 /// Which backend servers of a pool are believed to hold which prompt prefixes in their caches.
 ///
-/// Filled by the policy's own dispatches as well as by cache events, since those come late and
-/// with gaps. A wrong entry costs the recomputing of one prefix, never a wrong answer.
+/// Filled from the policy's own dispatches as well as from cache events, because cache events come
+/// late and some are lost. A wrong entry costs the recomputation of one prefix, never a wrong
+/// answer.
 class PrefixIndex
 {
 public:
     void add(std::uint64_t prefix, ServerHandle server);
     void remove(std::uint64_t prefix, ServerHandle server);
-    /// The server is gone, and its cache with it.
+    /// Removes all prefixes of a server that is gone together with its cache.
     void forget(ServerHandle server);
 
     [[nodiscard]] std::span<const ServerHandle> holders(std::uint64_t prefix) const;
--- a/src/snipestall/policy/queue_lane.hpp
+++ b/src/snipestall/policy/queue_lane.hpp
@@ -4,7 +4,8 @@
 
 namespace snipestall::policy {
 
-/// Work of one kind queues in a lane of its own, so that its wait depends on such work alone.
+/// Each kind of work queues in a lane of its own, so that its wait depends only on work of that
+/// kind.
 enum class Lane : std::size_t {
     /// Short urgent work.
     Urgent,
@@ -14,7 +15,7 @@
 
 constexpr std::size_t LaneCount = 3;
 
-/// Lanes besides the urgent one that may have a slot now.
+/// Which lanes besides the urgent one may be given a slot now.
 struct OpenLanes
 {
     bool normal = true;
--- a/src/snipestall/policy/queueing_test.cpp
+++ b/src/snipestall/policy/queueing_test.cpp
@@ -47,8 +47,9 @@
     FakeFleet m_fleet;
 };
 
-// One customer asks for four fifths of twice what the pool can do. In a queue by arrival the
-// other one would wait behind that flood, though it asks for less than its half.
+// One customer asks for four fifths of a load that is twice the capacity of the pool. In a queue
+// ordered by arrival the other customer would wait behind that flood, although it asks for less
+// than its half.
 TEST_F(QueueingTest, ACustomerUnderItsShareIsNotSlowedByAFlood)
 {
     m_fleet.addCustomer("cargo");
@@ -76,7 +77,8 @@
     for (int i = 0; i < 4; ++i)
         m_fleet.addServer(8);
     int n = 0;
-    // The lighter customer sends shorter requests; counted by requests it would get too little.
+    // The customer of lower weight sends shorter requests; if shares counted requests, it would get
+    // too little.
     m_fleet.load(60, 60s, [&] {
         const bool first = n++ % 2 == 0;
         return first ? make("cargo", 100, 20s) : make("ferries", 50, 20s);
@@ -85,9 +87,9 @@
     EXPECT_NEAR(ratio, 3.0, 0.5);
 }
 
-// A customer marks everything as due in two and a half seconds to get ahead. Slack alone would
-// let it take the whole pool from one that leaves more time.
-TEST_F(QueueingTest, ShortDeadlinesDoNotBuyMoreThanTheShare)
+// A customer sets a deadline of four seconds on every request to get ahead. With slack alone it
+// would take the whole pool from a customer that leaves more time.
+TEST_F(QueueingTest, ShortDeadlinesDoNotGiveMoreThanTheShare)
 {
     m_fleet.addCustomer("pushy");
     m_fleet.addCustomer("calm");
@@ -101,8 +103,8 @@
     EXPECT_LE(ratio, 1.3);
 }
 
-// Nine lookups to each full review, but nine tenths of the tokens are the reviews'. Reviews that
-// fill every slot would make each lookup wait for the end of one.
+// There are nine lookups for each full review, but nine tenths of the tokens belong to reviews. If
+// reviews filled every slot, each lookup would wait for the end of a review.
 TEST_F(QueueingTest, LookupsDoNotWaitForReviews)
 {
     m_fleet.addCustomer("newsroom");
@@ -122,8 +124,8 @@
 }
 
 // Queries keep eight slots busy where the settings reserve four, and long work asks for more than
-// the rest. It would take each slot that a lull among the queries leaves, and hold it through their
-// next rush.
+// the rest. Long work would take each slot that is free in a lull of the queries, and hold it
+// through their next burst.
 TEST_F(QueueingTest, TheReserveFollowsTheUrgentLoad)
 {
     m_fleet.addCustomer("newsroom");
@@ -145,9 +147,9 @@
     EXPECT_LE(late, 3);
 }
 
-// Normal work was there a moment ago and room is kept for more of it. None comes, and nothing else
-// happens either: the reviews that wait must still get the room.
-TEST_F(QueueingTest, RoomKeptForNormalWorkIsGivenUpInTime)
+// Slots are kept free because there was normal work a moment ago. No more normal work arrives, and
+// nothing else happens: the waiting reviews must still get these slots.
+TEST_F(QueueingTest, SlotsReservedForNormalWorkAreReleasedOverTime)
 {
     m_fleet.addCustomer("newsroom");
     m_fleet.start();
@@ -164,8 +166,8 @@
     EXPECT_EQ(m_fleet.count(started), 7);
 }
 
-// Urgent work alone asks for more than the pool can do, for two minutes. Long work, always last,
-// would stand still until its deadline; a fifth of the picks goes to it all the same.
+// Urgent work alone asks for more than the pool can do, for two minutes. If long work always came
+// last, it would not run until its deadline, so a fifth of the slot time goes to long work.
 TEST_F(QueueingTest, LongWorkIsNotStarvedByUrgentWork)
 {
     m_fleet.addCustomer("newsroom");
--- a/src/snipestall/policy/request.hpp
+++ b/src/snipestall/policy/request.hpp
@@ -16,7 +16,7 @@
 enum class Phase {
     /// Not yet admitted.
     New,
-    /// Suspected of crashing servers: waits for one that is emptied for it.
+    /// Suspected of crashing servers: waits for a server that is emptied for it.
     Suspect,
     /// In its pool's queue.
     Queued,
@@ -42,26 +42,27 @@
     bool idempotent = true;
     bool forwarded = false;
     bool accepted = false;
-    /// Urgent and short: may use the reserved slots.
+    /// The request is urgent and short: it may use the reserved slots.
     bool shortUrgent = false;
     std::vector<std::uint64_t> prefix;
-    /// Hash of the whole request; 0 when not known.
+    /// Hash of the whole request; 0 when unknown.
     std::uint64_t fingerprint = 0;
 
     Time arrived;
     Time deadline;
-    /// Latest start that still meets its target; orders the queue.
+    /// Latest start that still meets the request's target; orders the queue.
     Time startBy;
-    /// From here on no start can meet the deadline, even at the best speed.
+    /// Time from which no start can meet the deadline, even at the best speed.
     Time giveUpAt;
 
-    /// Estimated work in output-token equivalents; the currency of fair shares.
+    /// Estimated work in output-token equivalents; the unit of fair shares.
     double cost = 0;
-    /// Part of `maxTokens` that was expected to be produced when the cost was reckoned.
+    /// Expected number of output tokens, a part of `maxTokens`, on which the cost estimate is
+    /// based.
     double expectedOutput = 0;
     /// Estimated time in a slot.
-    Duration service {};
-    /// Output tokens that the caller has or will get from what ran so far.
+    Duration slotTime {};
+    /// Output tokens produced so far, which the caller has or will get.
     std::uint32_t produced = 0;
 
     AttemptHandle attempt;
@@ -71,10 +72,11 @@
     Time lastTokenAt;
     bool firstTokenSeen = false;
 
-    /// To be moved off a server under notice, and what recomputing it would cost in tokens.
+    /// Whether the stream is to be moved off a server under notice, and the cost of recomputing it,
+    /// in tokens.
     bool moving = false;
     std::uint32_t moveCost = 0;
-    /// Moved here, first token not yet seen.
+    /// The stream was moved to its server and has not produced its first token there yet.
     bool importing = false;
 
     std::uint32_t retries = 0;
--- a/src/snipestall/policy/retry.cpp
+++ b/src/snipestall/policy/retry.cpp
@@ -12,19 +12,19 @@
 namespace snipestall::policy {
 namespace {
 
-constexpr Duration FirstBackoff = std::chrono::milliseconds(50);
-constexpr Duration LongestBackoff = std::chrono::seconds(2);
-constexpr std::uint32_t DoublingsAtMost = 6;
+constexpr Duration InitialBackoff = std::chrono::milliseconds(50);
+constexpr Duration MaxBackoff = std::chrono::seconds(2);
+constexpr std::uint32_t MaxDoublings = 6;
 
-/// A request that failed this often fails for a reason of its own.
+/// The cause of a request that fails this often is the request itself.
 constexpr std::uint32_t MaxRetries = 6;
 
-/// Time in which a peer's next summary comes, with some delay.
+/// Time within which a peer's next summary arrives, with some margin.
 constexpr Duration SummaryWait = std::chrono::milliseconds(1500);
 
-/// Failure: the connection broke after bytes left. It shows as a cut, and nobody can tell whether
-/// the call ran. Sent again, a top-up is booked twice; so it ends here, and the edge, which knows
-/// that bytes left, answers `unknown`.
+/// Whether a non-idempotent request may have run: the connection broke after bytes were sent, and
+/// it is unknown whether the call ran. If it were sent again, a top-up would be booked twice, so
+/// the request ends here. The I/O layer, which knows that bytes were sent, answers `unknown`.
 bool mayHaveRun(const Request &request, AttemptResult result)
 {
     const bool cut = result == AttemptResult::Cut || result == AttemptResult::ServerDied;
@@ -38,43 +38,44 @@
 
 Duration backoff(State &state, const Request &request)
 {
-    const std::uint32_t doublings = std::min(request.retries, DoublingsAtMost);
-    const Duration full = std::min(LongestBackoff, FirstBackoff * (1U << doublings));
+    const std::uint32_t doublings = std::min(request.retries, MaxDoublings);
+    const Duration full = std::min(MaxBackoff, InitialBackoff * (1U << doublings));
     return state.jittered(full / 2);
 }
 
-/// The owner is full: its summary was old. Another peer, or this queue, can take it at once.
-void takeBack(State &state, Request &request)
+/// Queues a request again that the owner declined because it is full and its summary was old.
+/// Another peer, or a server here, can take the request at once.
+void requeueDeclined(State &state, Request &request)
 {
-    state.peers.countDecline(request.peer, request.pool->service);
-    withdraw(state, request);
+    state.peers.recordDecline(request.peer, request.pool->service);
+    leavePhase(state, request);
     estimate(request);
     enqueue(state, request);
 }
 
-/// A server that had notice died of its reclaim, and one of many deaths at once of a common cause;
-/// otherwise each request in flight there may be the cause.
+/// A server that had notice died of its reclaim, and one of many servers that die at once died of a
+/// common cause. Otherwise each request in flight on the server may be the cause.
 bool isSuspicious(const State &state, const Request &request)
 {
     const bool ownServer = request.phase == Phase::Running;
-    return ownServer && !request.server->leaving && !request.pool->deaths.commonCause(state.now);
+    return ownServer && !request.server->leaving && !request.pool->deaths.hasCommonCause(state.now);
 }
 
-void countCrash(State &state, Request &request)
+void recordCrashOf(State &state, Request &request)
 {
     Pool &pool = *request.pool;
     pool.deaths.add(state.now, request.server->handle);
-    if (pool.deaths.commonCause(state.now))
-        absolveRecent(state, pool);
+    if (pool.deaths.hasCommonCause(state.now))
+        clearRecentSuspects(state, pool);
     if (!isSuspicious(state, request))
         return;
     ++request.crashes;
     request.crashedAt = state.now;
-    const std::uint32_t known = state.crashes.count(state.now, request.fingerprint);
+    const std::uint32_t known = state.crashes.recordCrash(state.now, request.fingerprint);
     request.crashes = std::max(request.crashes, known);
 }
 
-void startAgain(State &state, Request &request)
+void restart(State &state, Request &request)
 {
     estimate(request);
     if (startElsewhere(state, request))
@@ -85,21 +86,22 @@
         enqueue(state, request);
 }
 
-/// What was lost with its server goes on at once: it is not the cause of any overload, and its
-/// caller has waited already.
+/// Resumes a request at once that was lost with its server: it did not cause an overload, and its
+/// caller has already waited.
 void resumeAfterDeath(State &state, Request &request)
 {
-    withdraw(state, request);
-    startAgain(state, request);
+    leavePhase(state, request);
+    restart(state, request);
 }
 
-/// Failure: a peer ran the request, its servers died of it, and run here it would take down a
-/// third one. It shows as a death reported for a forwarded attempt; but the peer itself may have
-/// died just as well. So it waits for the peer's next summary, which tells what it quarantined.
-void askPeersFirst(State &state, Request &request)
+/// Guards against this failure: a peer ran the request, its servers died of it, and the request
+/// would take down a third server here. The only sign is a death reported for a forwarded attempt,
+/// but the peer itself may have died instead. The request therefore waits for the peer's next
+/// summary, which names the quarantined requests.
+void waitForPeerSummary(State &state, Request &request)
 {
     ++request.crashes;
-    withdraw(state, request);
+    leavePhase(state, request);
     estimate(request);
     delay(state, request, SummaryWait);
 }
@@ -110,12 +112,12 @@
         refuse(state, request, RefusalReason::RetriesExhausted, Duration::zero());
         return;
     }
-    withdraw(state, request);
+    leavePhase(state, request);
     estimate(request);
     delay(state, request, std::max(retryAfter, backoff(state, request)));
 }
 
-void noteFailure(State &state, Request &request)
+void recordFailure(State &state, Request &request)
 {
     request.failedOn = request.server->handle;
     observeFailure(state, request);
@@ -127,19 +129,19 @@
 {
     const bool died = event.result == AttemptResult::ServerDied;
     if (died && request.phase == Phase::Running)
-        countCrash(state, request);
+        recordCrashOf(state, request);
     else if (request.phase == Phase::Running)
-        noteFailure(state, request);
-    if (request.crashes >= CrashTable::QuarantinedAt)
+        recordFailure(state, request);
+    if (request.crashes >= CrashTable::QuarantineThreshold)
         refuse(state, request, RefusalReason::Quarantined, Duration::zero());
     else if (mayHaveRun(request, event.result))
         refuse(state, request, RefusalReason::RetriesExhausted, Duration::zero());
     else if (isDecline(event.result) && request.phase == Phase::Forwarded)
-        takeBack(state, request);
+        requeueDeclined(state, request);
     else if (died && request.phase == Phase::Running)
         resumeAfterDeath(state, request);
     else if (died)
-        askPeersFirst(state, request);
+        waitForPeerSummary(state, request);
     else
         retryLater(state, request, event.retryAfter);
 }
@@ -150,18 +152,19 @@
         Request *request = state.findRequest(*handle);
         if (!request)
             continue;
-        withdraw(state, *request);
+        leavePhase(state, *request);
         const std::uint32_t known = state.crashes.crashes(state.now, request->fingerprint);
-        if (known >= CrashTable::QuarantinedAt) {
+        if (known >= CrashTable::QuarantineThreshold) {
             refuse(state, *request, RefusalReason::Quarantined, Duration::zero());
             continue;
         }
-        // Not refused for want of budget: it was accepted. It waits for the budget to be earned.
+        // An accepted request is not refused for lack of budget. It waits until the budget is
+        // earned.
         if (!request->pool->retryBudget.spend(state.now)) {
-            delay(state, *request, state.jittered(LongestBackoff));
+            delay(state, *request, state.jittered(MaxBackoff));
             continue;
         }
-        startAgain(state, *request);
+        restart(state, *request);
     }
 }
 
--- a/src/snipestall/policy/retry.hpp
+++ b/src/snipestall/policy/retry.hpp
@@ -7,10 +7,10 @@
 struct Request;
 struct State;
 
-/// Decides on a request whose attempt failed: again, later, or given up.
+/// Decides whether a request whose attempt failed is retried at once, retried later or refused.
 void retry(State &state, Request &request, const AttemptEnded &event);
 
-/// Puts requests whose backoff has ended back into their queues, as the retry budget allows.
+/// Queues requests whose backoff has ended again, as far as the retry budget allows.
 void resumeDelayed(State &state);
 
 } // namespace snipestall::policy
--- a/src/snipestall/policy/retry_budget.hpp
+++ b/src/snipestall/policy/retry_budget.hpp
@@ -7,17 +7,17 @@
 
 namespace snipestall::policy {
 
-/// Retries that a pool may make, as a part of its first attempts.
+/// Retries that a pool may make, in proportion to its first attempts.
 ///
-/// Failure: servers that are overloaded fail attempts, the retries add load, and more attempts
-/// fail; it shows as a pool that stays saturated after the burst that began it is over. With
-/// retries at most a fifth of first attempts the added load stays below what a pool can absorb.
+/// Guards against this failure: overloaded servers fail attempts, the retries add load, and more
+/// attempts fail, so that a pool stays saturated after the burst that overloaded it is over. With
+/// retries at most a fifth of first attempts, the added load stays below what a pool can absorb.
 class RetryBudget
 {
 public:
-    void earn() { m_level = std::min(Most, m_level + EarnedPerAttempt); }
+    void earn() { m_level = std::min(MaxLevel, m_level + EarnedPerAttempt); }
 
-    /// Takes one retry out; false when none is left.
+    /// Takes one retry out of the budget; returns false when none is left.
     bool spend(Time now)
     {
         earnByTime(now);
@@ -28,22 +28,23 @@
     }
 
 private:
-    // Failure: an owner dies, and what it ran uses the budget up. On an instance that gets no first
-    // attempts nothing would earn it back: accepted requests would wait out their deadlines beside
-    // idle servers. A few retries a second are nothing to a pool, however saturated.
+    // Guards against this failure: an owner dies, and the requests that it ran use up the budget.
+    // On an instance that gets no first attempts nothing would refill the budget, and accepted
+    // requests would wait until their deadlines beside idle servers. A few retries per second are a
+    // negligible load for a pool, however saturated it is.
     void earnByTime(Time now)
     {
         const std::chrono::duration<double> passed = now - m_earnedUpTo;
-        m_level = std::min(Most, m_level + std::max(0.0, passed.count()) * EarnedPerSecond);
+        m_level = std::min(MaxLevel, m_level + std::max(0.0, passed.count()) * EarnedPerSecond);
         m_earnedUpTo = now;
     }
 
     static constexpr double EarnedPerSecond = 4;
     static constexpr double EarnedPerAttempt = 0.2;
-    /// Covers one broken server's worth of attempts at once.
-    static constexpr double Most = 32;
+    /// Enough for all attempts of one broken server at once.
+    static constexpr double MaxLevel = 32;
 
-    double m_level = Most;
+    double m_level = MaxLevel;
     Time m_earnedUpTo;
 };
 
--- a/src/snipestall/policy/retry_test.cpp
+++ b/src/snipestall/policy/retry_test.cpp
@@ -38,9 +38,10 @@
     FakeFleet m_fleet;
 };
 
-// One request crashes each server that runs it. Retried beside others, it takes a server and its
-// neighbours with it each time; the neighbours, retried side by side, can't be told from it.
-TEST_F(RetryTest, ACrashingRequestTakesTwoServersAndNoNeighbour)
+// One request crashes each server that runs it. If it is retried beside other requests, it takes
+// down a server and those requests each time; if those are retried side by side, they can't be
+// distinguished from it.
+TEST_F(RetryTest, ACrashingRequestCostsTwoServersAndNoOtherRequest)
 {
     for (int i = 0; i < 4; ++i)
         m_fleet.addServer(4);
@@ -78,8 +79,8 @@
     }
 }
 
-// The caller of a quarantined request sends it again, with a new handle and perhaps through
-// another instance. It must not cost a third server.
+// The caller of a quarantined request sends it again, with a new handle and perhaps through another
+// instance. The request must not cost a third server.
 TEST_F(RetryTest, ARepeatOfAQuarantinedRequestIsRefused)
 {
     for (int i = 0; i < 4; ++i)
@@ -102,8 +103,8 @@
     EXPECT_TRUE(neighbour.of(neighbour.send(elsewhere)).refused);
 }
 
-// A peer ran the request and lost its servers to it. Run here at once, it would cost a third one,
-// though the peer's summary that names it is already under way.
+// A peer ran the request and lost its servers to it. If the request ran here at once, it would cost
+// a third server, although the peer's summary that names it is already on its way.
 TEST_F(RetryTest, AForwardThatKilledThePeersServersIsNotRunHere)
 {
     PeerSummary summary { { 7 }, "samsun-2", "samsun-hall", {} };
@@ -125,10 +126,11 @@
     EXPECT_EQ(m_fleet.of(request).refused->reason, RefusalReason::Quarantined);
 }
 
-// An owner's last engine dies under what peers forwarded to it. Callers see their streams stop and
-// fail a minute later, beside engines that live elsewhere: the owner kept the work for an engine
-// that it no longer had. It goes back to its home at once.
-TEST_F(RetryTest, WhatAPeerForwardedGoesBackWhenTheLastServerDies)
+// The last engine of an owner dies while it holds requests that peers forwarded. The streams of
+// these callers would stop and fail a minute later, although engines are up elsewhere, because the
+// owner kept the requests for an engine that it no longer had. The requests must go back to their
+// home at once.
+TEST_F(RetryTest, ForwardedRequestsGoBackWhenTheLastServerDies)
 {
     const ServerHandle only = m_fleet.addServer(1);
     RequestArrived running = m_fleet.request("ferries", Urgency::Patient);
@@ -146,9 +148,9 @@
     EXPECT_EQ(m_fleet.of(second).refused->reason, RefusalReason::NoCapacity);
 }
 
-// A forwarded request's attempt finds nobody at the server's address and waits out a backoff. The
-// server is given up meanwhile; when the backoff ends there is none left that it could wait for.
-TEST_F(RetryTest, ABackoffThatOutlivesTheLastServerEndsAtTheHome)
+// The attempt of a forwarded request can't reach the server's address and waits for a backoff.
+// Meanwhile the server is gone, and when the backoff ends there is no server left to wait for.
+TEST_F(RetryTest, ABackoffThatEndsAfterTheLastServerIsGoneReturnsToTheHome)
 {
     const ServerHandle only = m_fleet.addServer(1);
     RequestArrived arrived = m_fleet.request("ferries", Urgency::Patient);
@@ -163,8 +165,8 @@
     EXPECT_EQ(m_fleet.of(request).refused->reason, RefusalReason::NoCapacity);
 }
 
-// The same of this instance's own request: it is a suspect of the death, and no engine is left here
-// that could be emptied for it. A peer has one.
+// A request of this instance is a suspect of the death of the last engine, and no engine is left
+// here that could be emptied for it. A peer has one.
 TEST_F(RetryTest, ASuspectWithoutAServerHereIsForwarded)
 {
     const ServerHandle only = m_fleet.addServer(1);
@@ -180,8 +182,8 @@
     EXPECT_EQ(m_fleet.of(request).forwards.size(), 1U);
 }
 
-// A rack loses power: four of eight servers die at the same moment. Were all that ran there
-// suspected, the survivors would be emptied to run dozens of requests one by one.
+// A rack loses power: four of eight servers die at the same moment. If all requests that ran there
+// became suspects, the surviving servers would be emptied to run dozens of requests one by one.
 TEST_F(RetryTest, ManyDeathsAtOnceMakeFewSuspects)
 {
     std::vector<ServerHandle> servers;
@@ -200,7 +202,7 @@
 }
 
 // Every attempt in the pool fails for a while. If each failure were retried at once, the retries
-// would multiply the load just when nothing gets through.
+// would multiply the load while no attempt succeeds.
 TEST_F(RetryTest, RetriesStayWithinTheirBudget)
 {
     const ServerHandle server = m_fleet.addServer(32);
--- a/src/snipestall/policy/server.hpp
+++ b/src/snipestall/policy/server.hpp
@@ -13,9 +13,9 @@
 struct Pool;
 struct Request;
 
-enum class Standing {
+enum class HealthState {
     Healthy,
-    /// Let back in for one request at a time.
+    /// Readmitted for one request at a time.
     Probing,
     /// Gets no work for a while.
     Ejected,
@@ -24,81 +24,83 @@
 /// Row of the backend server table: one incarnation of an owned backend server.
 struct Server
 {
-    /// Neither fast enough for a higher limit nor slow enough for a lower one.
-    static constexpr double RestingPace = 0.9;
+    /// Pace that neither raises nor lowers the concurrency limit.
+    static constexpr double NeutralPace = 0.9;
 
     ServerHandle handle;
     Pool *pool = nullptr;
     std::string dataCentre;
     std::string instanceClass;
-    /// What the server can run side by side.
+    /// Number of requests that the server can run concurrently.
     std::uint32_t slots = 0;
-    /// What it is given side by side, after adaptation.
+    /// Number of requests that the server is given concurrently, after adaptation.
     std::uint32_t limit = 0;
 
     bool leaving = false;
     bool gone = false;
 
-    /// While it leaves: when it is gone, half of the way there, and when its exports are done.
+    /// While the server is leaving: the time at which it is gone, the time at which half of the
+    /// notice has passed, and the time at which its exports are done.
     Time noticeEnds;
     Time noticeHalf;
     Time exportsEnd;
-    /// Streams moved here whose first token has not come yet.
+    /// Number of streams moved here whose first token has not come yet.
     std::uint32_t imports = 0;
 
-    /// Attempts that run on it, by request.
+    /// Handles of the requests whose attempts run on the server.
     std::set<std::uint64_t> requests;
-    /// Of these, those that may not use the reserved slots.
-    std::uint32_t runningOther = 0;
-    /// Of these, patient work.
+    /// Number of these requests that may not use the reserved slots.
+    std::uint32_t runningNonUrgent = 0;
+    /// Number of these requests that are patient work.
     std::uint32_t runningPatient = 0;
 
-    /// Recent time for one token over its target; 1 is just in time.
-    double pace = RestingPace;
-    Time adjustedAt;
+    /// Recent average of the time for one token divided by the target time; 1 just meets the
+    /// target.
+    double pace = NeutralPace;
+    Time limitAdjustedAt;
 
-    /// Requests there that other instances sent, by the server's own report.
-    std::uint32_t foreign = 0;
-    /// Most that ran side by side since the last report, and in the time before that.
+    /// Requests that other instances sent to the server, derived from the server's own report.
+    std::uint32_t foreignRequests = 0;
+    /// Largest number of concurrent requests since the last report, and in the interval before it.
     std::uint32_t peak = 0;
-    std::uint32_t lastPeak = 0;
+    std::uint32_t previousPeak = 0;
 
-    Standing standing = Standing::Healthy;
+    HealthState healthState = HealthState::Healthy;
     Time probeAt;
     Duration probeWait {};
-    /// Recent time for a piece of work.
+    /// Recent average time in seconds for one output token or one plain call.
     double workSeconds = 0;
     std::uint32_t speedSamples = 0;
-    /// When at the latest something must come from what runs there.
+    /// Latest time by which the attempts that run there must show progress.
     Time progressDue;
     /// Recent share of attempts that failed.
     double failureRate = 0;
-    std::uint32_t results = 0;
-    /// Slots kept after fast failures.
+    std::uint32_t resultSamples = 0;
+    /// Slots kept occupied after fast failures.
     std::uint32_t penalties = 0;
 
-    /// The one request that it is kept for; null when it is open to all.
+    /// The suspect that the server is reserved for; null when the server is open to all requests.
     Request *suspect = nullptr;
 
     [[nodiscard]] std::uint32_t running() const
     {
         return static_cast<std::uint32_t>(requests.size());
     }
-    /// Slots in use, by whomever.
-    [[nodiscard]] std::uint32_t occupied() const { return running() + foreign + penalties; }
-    /// Takes new work.
+    /// Slots in use, including those used by other instances or kept as penalties.
+    [[nodiscard]] std::uint32_t occupied() const { return running() + foreignRequests + penalties; }
+    /// Whether the server takes new work.
     [[nodiscard]] bool usable() const
     {
-        return !leaving && !gone && !suspect && standing != Standing::Ejected;
+        return !leaving && !gone && !suspect && healthState != HealthState::Ejected;
     }
-    /// What it is given side by side now.
-    [[nodiscard]] std::uint32_t allowed() const
+    /// Number of requests that the server is given concurrently now.
+    [[nodiscard]] std::uint32_t effectiveLimit() const
     {
-        return standing == Standing::Probing ? std::min(limit, 1U) : limit;
+        return healthState == HealthState::Probing ? std::min(limit, 1U) : limit;
     }
     [[nodiscard]] std::uint32_t freeSlots() const
     {
-        return usable() && occupied() < allowed() ? allowed() - occupied() : 0;
+        return usable() && occupied() < effectiveLimit() ? effectiveLimit() - occupied() : 0;
     }
 };
 
--- a/src/snipestall/policy/server_index.cpp
+++ b/src/snipestall/policy/server_index.cpp
@@ -12,30 +12,31 @@
 
 constexpr std::uint32_t FullLoad = 65536;
 
-/// Load: a pool of mixed classes with work of mixed length. Weighs the expected time lost to a
-/// reclaim (hazard x what would be recomputed) against load: losing one second in a hundred to
-/// reclaims counts as much as a server that is a fifth fuller. Higher, and the safe classes are
+/// Weighs the expected time lost to a reclaim (reclaim rate x time to recompute) against load, for
+/// pools of mixed classes with work of mixed length: losing one second in a hundred to reclaims
+/// counts as much as a server that is a fifth fuller. With a higher weight the safe classes are
 /// overloaded while reclaimable ones idle.
 constexpr double LossWeight = 20.0;
 
-/// Load: reclaims that come in waves, class by class. While one lasts, its class is taken for a
-/// quarter fuller than it is: what moves off a server under notice should not have to move again,
-/// but a class that is far emptier still gets work.
+/// Reclaims come in waves, class by class. During a wave, servers of its class count as a quarter
+/// fuller than they are: a stream that moves off a server under notice should not have to move
+/// again, but a class that is far emptier still gets work.
 constexpr double WavePenalty = 0.25;
-constexpr Duration WaveTime = std::chrono::seconds(30);
+constexpr Duration WaveDuration = std::chrono::seconds(30);
 
 constexpr double SecondsPerHour = 3600.0;
 
 std::uint32_t loadOf(const Server &server)
 {
-    return (server.occupied() + 1) * FullLoad / server.allowed();
+    return (server.occupied() + 1) * FullLoad / server.effectiveLimit();
 }
 
 ServerIndex::Totals totalsOf(const Server &server)
 {
     if (!server.usable())
         return {};
-    return { 1, server.allowed(), server.freeSlots(), server.runningOther, server.runningPatient };
+    return { 1, server.effectiveLimit(), server.freeSlots(), server.runningNonUrgent,
+             server.runningPatient };
 }
 
 } // namespace
@@ -53,13 +54,13 @@
     m_totals.servers += entry.totals.servers;
     m_totals.slots += entry.totals.slots;
     m_totals.free += entry.totals.free;
-    m_totals.runningOther += entry.totals.runningOther;
+    m_totals.runningNonUrgent += entry.totals.runningNonUrgent;
     m_totals.runningPatient += entry.totals.runningPatient;
     if (entry.totals.free == 0)
         return;
     entry.group = &m_groups[{ server.dataCentre, server.instanceClass }];
-    entry.place = { loadOf(server), server.handle, &server };
-    entry.group->free.insert(entry.place);
+    entry.position = { loadOf(server), server.handle, &server };
+    entry.group->free.insert(entry.position);
 }
 
 void ServerIndex::erase(const Server &server)
@@ -76,20 +77,20 @@
     m_totals.servers -= entry.totals.servers;
     m_totals.slots -= entry.totals.slots;
     m_totals.free -= entry.totals.free;
-    m_totals.runningOther -= entry.totals.runningOther;
+    m_totals.runningNonUrgent -= entry.totals.runningNonUrgent;
     m_totals.runningPatient -= entry.totals.runningPatient;
     entry.totals = {};
     if (entry.group)
-        entry.group->free.erase(entry.place);
+        entry.group->free.erase(entry.position);
     entry.group = nullptr;
 }
 
 void ServerIndex::configure(const std::vector<settings::ClassSettings> &classes)
 {
-    for (const settings::ClassSettings &facts : classes) {
-        ClassGroup &group = m_groups[{ facts.dataCentre, facts.name }];
-        group.pricePerHour = facts.pricePerHour;
-        group.reclaimsPerHour = facts.reclaimable ? facts.reclaimsPerHour : 0.0;
+    for (const settings::ClassSettings &classSettings : classes) {
+        ClassGroup &group = m_groups[{ classSettings.dataCentre, classSettings.name }];
+        group.pricePerHour = classSettings.pricePerHour;
+        group.reclaimsPerHour = classSettings.reclaimable ? classSettings.reclaimsPerHour : 0.0;
     }
 }
 
@@ -109,7 +110,7 @@
     return best;
 }
 
-std::vector<Server *> ServerIndex::best(Time now, double lossSeconds, std::size_t most) const
+std::vector<Server *> ServerIndex::best(Time now, double lossSeconds, std::size_t maxResults) const
 {
     std::vector<std::pair<double, const ClassGroup *>> groups;
     groups.reserve(m_groups.size());
@@ -120,20 +121,20 @@
     const auto byScore = [](const auto &a, const auto &b) { return a.first < b.first; };
     std::stable_sort(groups.begin(), groups.end(), byScore);
     std::vector<Server *> servers;
-    servers.reserve(most);
+    servers.reserve(maxResults);
     for (const auto &[groupScore, group] : groups) {
-        for (const LoadedServer &place : group->free) {
-            if (servers.size() == most)
+        for (const LoadedServer &position : group->free) {
+            if (servers.size() == maxResults)
                 return servers;
-            servers.push_back(place.server);
+            servers.push_back(position.server);
         }
     }
     return servers;
 }
 
-void ServerIndex::noteReclaim(Time now, const Server &server)
+void ServerIndex::recordReclaim(Time now, const Server &server)
 {
-    m_groups[{ server.dataCentre, server.instanceClass }].waveEnds = now + WaveTime;
+    m_groups[{ server.dataCentre, server.instanceClass }].waveEnds = now + WaveDuration;
 }
 
 double ServerIndex::score(const ClassGroup &group, Time now, double lossSeconds)
--- a/src/snipestall/policy/server_index.hpp
+++ b/src/snipestall/policy/server_index.hpp
@@ -17,8 +17,8 @@
 
 struct Server;
 
-/// Index of the free slots of one pool, by instance class and load: finds a place in
-/// O(classes x log servers), whatever the size of the pool.
+/// Index of the free slots of one pool, by instance class and load. It finds a slot in O(classes x
+/// log servers), whatever the size of the pool.
 class ServerIndex
 {
 public:
@@ -27,26 +27,28 @@
         std::uint32_t servers = 0;
         std::uint32_t slots = 0;
         std::uint32_t free = 0;
-        std::uint32_t runningOther = 0;
+        std::uint32_t runningNonUrgent = 0;
         std::uint32_t runningPatient = 0;
     };
 
-    /// Takes the server's present state into account; called after each change of it.
+    /// Indexes the server's present state; must be called after each change of it.
     void update(Server &server);
     void erase(const Server &server);
 
-    /// Prices and hazards of the instance classes.
+    /// Applies the prices and reclaim rates of the instance classes.
     void configure(const std::vector<settings::ClassSettings> &classes);
 
-    /// A server with a free slot: least loaded, but for work whose loss would cost
-    /// `lossSeconds` of recomputing, hazard counts too. Null when no slot is free.
+    /// The least loaded server with a free slot. For work whose loss would cost `lossSeconds` of
+    /// recomputing, the reclaim rate of the class counts too. Null when no slot is free.
     [[nodiscard]] Server *pick(Time now, double lossSeconds) const;
 
-    /// The first few in that order; the best class's first.
-    [[nodiscard]] std::vector<Server *> best(Time now, double lossSeconds, std::size_t most) const;
+    /// The first `maxResults` servers in that order, the servers of the best class first.
+    [[nodiscard]] std::vector<Server *> best(Time now, double lossSeconds,
+                                             std::size_t maxResults) const;
 
-    /// A server of this class got notice: more of its class may follow within moments.
-    void noteReclaim(Time now, const Server &server);
+    /// Records that a server of this class got notice: more servers of the class may follow within
+    /// moments.
+    void recordReclaim(Time now, const Server &server);
 
     [[nodiscard]] const Totals &totals() const { return m_totals; }
 
@@ -55,7 +57,7 @@
 
     struct LoadedServer
     {
-        /// Share of the limit in use once one more request runs, in 1/65536.
+        /// Share of the limit in use once one more request runs, in units of 1/65536.
         std::uint32_t load = 0;
         ServerHandle handle;
         Server *server = nullptr;
@@ -67,7 +69,7 @@
     {
         double pricePerHour = 1.0;
         double reclaimsPerHour = 0;
-        /// A wave of reclaims is believed to last until then.
+        /// Time until which a wave of reclaims is assumed to last.
         Time waveEnds;
         std::set<LoadedServer> free;
     };
@@ -76,7 +78,7 @@
     {
         Totals totals;
         ClassGroup *group = nullptr;
-        LoadedServer place;
+        LoadedServer position;
     };
 
     void withdraw(Entry &entry);
--- a/src/snipestall/policy/service_time.cpp
+++ b/src/snipestall/policy/service_time.cpp
@@ -7,12 +7,14 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Weight of one observation: about the last fifty count, a second or two of a busy pool. Faster,
-/// and one odd request moves every refusal; slower, and a burst is over before it shows.
+/// Weight of one observation: about the last fifty observations count, which is a second or two of
+/// a busy pool. With a higher weight one unusual request changes every refusal; with a lower one a
+/// burst is over before it affects the estimate.
 constexpr double Gain = 0.02;
 
-/// Prompts shorter than this tell more about overhead than about the prompt.
-constexpr std::uint32_t LeastTellingPrompt = 64;
+/// The time of a prompt shorter than this depends more on overhead than on the length of the
+/// prompt.
+constexpr std::uint32_t MinLearnedPrompt = 64;
 
 void blend(double &mean, double observed)
 {
@@ -33,19 +35,19 @@
     return toDuration(m_promptTokenSeconds * promptTokens + m_outputTokenSeconds * outputTokens);
 }
 
-Duration ServiceTime::perOutputToken() const
+Duration ServiceTime::outputTokenTime() const
 {
     return toDuration(m_outputTokenSeconds);
 }
 
-Duration ServiceTime::prompt(double promptTokens) const
+Duration ServiceTime::promptTime(double promptTokens) const
 {
     return toDuration(m_promptTokenSeconds * promptTokens);
 }
 
 void ServiceTime::learnFirstToken(std::uint32_t promptTokens, Duration taken)
 {
-    if (promptTokens >= LeastTellingPrompt)
+    if (promptTokens >= MinLearnedPrompt)
         blend(m_promptTokenSeconds, Seconds(taken).count() / promptTokens);
 }
 
--- a/src/snipestall/policy/service_time.hpp
+++ b/src/snipestall/policy/service_time.hpp
@@ -6,14 +6,14 @@
 
 namespace snipestall::policy {
 
-/// Learned time that work takes in a slot, per pool: so much a prompt token, so much an output
-/// token, so much for a plain call.
+/// Learned slot time of a pool's work: time per prompt token, per output token and per call of a
+/// plain service.
 class ServiceTime
 {
 public:
     [[nodiscard]] Duration estimate(double promptTokens, double outputTokens) const;
-    [[nodiscard]] Duration perOutputToken() const;
-    [[nodiscard]] Duration prompt(double promptTokens) const;
+    [[nodiscard]] Duration outputTokenTime() const;
+    [[nodiscard]] Duration promptTime(double promptTokens) const;
 
     void learnFirstToken(std::uint32_t promptTokens, Duration taken);
     void learnOutput(double tokens, Duration taken);
--- a/src/snipestall/policy/state.hpp
+++ b/src/snipestall/policy/state.hpp
@@ -27,10 +27,10 @@
 
 namespace snipestall::policy {
 
-/// All tables of the policy. Systems are functions over it; none keeps state of its own.
+/// All tables of the policy. Systems are functions over them; no system keeps state of its own.
 ///
-/// Rows of the hash tables are found by handle and never iterated, since their order differs
-/// between runs; whatever is iterated is an ordered container.
+/// Rows of the hash tables are found by handle, because the iteration order of a hash table differs
+/// between runs. Whatever is iterated is an ordered container or is sorted before use.
 struct State
 {
     State(std::string homeDataCentre, std::uint64_t seed);
@@ -49,24 +49,24 @@
     CrashTable crashes;
     CapacityTable capacity;
 
-    /// Queued requests by the time at which they are given up.
+    /// Queued requests, by the time at which they are given up.
     TimerSet<RequestHandle> giveUps;
-    /// Delayed requests by the end of their backoff.
+    /// Delayed requests, by the end of their backoff.
     TimerSet<RequestHandle> backoffs;
-    /// Slots kept after fast failures, by the time at which they are free again.
+    /// Slots kept occupied after fast failures, by the time at which they are free again.
     TimerSet<ServerHandle> penalties;
-    /// Servers under notice, by the half of it.
+    /// Servers under notice, by the time at which half of the notice has passed.
     TimerSet<ServerHandle> notices;
-    /// When servers are next compared.
+    /// Time at which servers are next compared.
     Time nextReview;
     /// Pools whose queue or free slots changed in this step.
-    std::set<std::string, std::less<>> touched;
+    std::set<std::string, std::less<>> changedPools;
 
     std::uint64_t lastAttempt = 0;
     std::vector<Command> *commands = nullptr;
 
     [[nodiscard]] Request *findRequest(RequestHandle handle);
-    /// The request whose running attempt this is; null for an attempt that was replaced.
+    /// The request whose running attempt is `attempt`; null for an attempt that was replaced.
     [[nodiscard]] Request *findAttempt(RequestHandle handle, AttemptHandle attempt);
     [[nodiscard]] Server *findServer(ServerHandle handle);
     [[nodiscard]] Pool &pool(std::string_view service);
@@ -74,8 +74,9 @@
     [[nodiscard]] AttemptHandle newAttempt();
 
     void emit(Command command) { commands->push_back(std::move(command)); }
-    void touch(const Pool &pool) { touched.insert(pool.service); }
-    /// `base` spread over [1, 1.5), so that callers told the same time don't return as one burst.
+    void markChanged(const Pool &pool) { changedPools.insert(pool.service); }
+    /// `base` multiplied by a random factor in [1, 1.5), so that callers refused with the same time
+    /// don't return as one burst.
     [[nodiscard]] Duration jittered(Duration base);
 };
 
--- a/src/snipestall/policy/stranded.cpp
+++ b/src/snipestall/policy/stranded.cpp
@@ -8,7 +8,7 @@
 
 namespace snipestall::policy {
 
-std::vector<RequestHandle> waitingFor(const State &state, const Pool &pool)
+std::vector<RequestHandle> waitingRequests(const State &state, const Pool &pool)
 {
     std::vector<std::pair<Time, RequestHandle>> waiting;
     for (const auto &[handle, request] : state.requests) {
@@ -29,20 +29,21 @@
     return std::ranges::any_of(pool.servers, [](const auto &entry) { return !entry.second->gone; });
 }
 
-// Failure: an owner's last engine dies. What peers had forwarded to it, and what it held back as a
-// suspect of the death, waited for an engine there until the deadline, beside engines that lived
-// elsewhere; it showed as streams that stopped and failed as expired a minute later.
+// Guards against this failure: the last engine of an owner dies. Requests that peers had forwarded
+// to it, and requests that it held back as suspects of the death, waited for an engine there until
+// their deadline, although engines were up elsewhere. Streams stopped and failed as expired a
+// minute later.
 void releaseStranded(State &state, Pool &pool)
 {
-    for (const RequestHandle handle : waitingFor(state, pool)) {
+    for (const RequestHandle handle : waitingRequests(state, pool)) {
         Request &request = *state.findRequest(handle);
         if (request.forwarded) {
-            refuse(state, request, RefusalReason::NoCapacity, RetryElsewhere);
+            refuse(state, request, RefusalReason::NoCapacity, StrandedRetryAfter);
             continue;
         }
         if (request.phase != Phase::Suspect)
             continue;
-        withdraw(state, request);
+        leavePhase(state, request);
         enqueue(state, request);
     }
 }
@@ -50,13 +51,13 @@
 bool startElsewhere(State &state, Request &request)
 {
     if (hasServer(*request.pool))
-        request.pool->deserted = false;
-    const bool stranded = request.pool->deserted || request.crashes > 0;
+        request.pool->lostLastServer = false;
+    const bool stranded = request.pool->lostLastServer || request.crashes > 0;
     if (hasServer(*request.pool) || !stranded)
         return false;
     enqueue(state, request);
     if (request.forwarded)
-        refuse(state, request, RefusalReason::NoCapacity, RetryElsewhere);
+        refuse(state, request, RefusalReason::NoCapacity, StrandedRetryAfter);
     return true;
 }
 
--- a/src/snipestall/policy/stranded.hpp
+++ b/src/snipestall/policy/stranded.hpp
@@ -12,22 +12,26 @@
 struct Request;
 struct State;
 
-/// After which a request that goes back to its home may be sent elsewhere.
-constexpr Duration RetryElsewhere = std::chrono::milliseconds(200);
+/// Time after which the home of a request that is refused back to it may send the request
+/// elsewhere.
+constexpr Duration StrandedRetryAfter = std::chrono::milliseconds(200);
 
-/// What waits for a backend server of the pool, latest start first. Scans all requests.
-std::vector<RequestHandle> waitingFor(const State &state, const Pool &pool);
+/// Requests that wait for a backend server of the pool, ordered by their latest start. Scans all
+/// requests.
+std::vector<RequestHandle> waitingRequests(const State &state, const Pool &pool);
 
-/// Whether any backend server of the pool can still be given work here.
+/// Whether the pool has a backend server here that is not gone.
 bool hasServer(const Pool &pool);
 
-/// The last backend server of a pool is gone: what waits here for another can't count on one.
-/// What a peer forwarded goes back to it; what is this instance's own is queued, so that it can
-/// be forwarded. Scans all requests, which the loss of a whole pool is rare enough for.
+/// Releases the requests that wait here for a pool whose last backend server is gone, because no
+/// other server may come. Requests that a peer forwarded are refused back to it; suspects of this
+/// instance are queued, so that they can be forwarded. Scans all requests, which is acceptable
+/// because the loss of a whole pool is rare.
 void releaseStranded(State &state, Pool &pool);
 
-/// Queues what was lost with the last backend server, or gives it back to the peer it came from.
-/// False if the pool has a server, or lost its last one by an announced reclaim.
+/// Queues a request that was lost with the last backend server, or refuses it back to the peer that
+/// forwarded it. Returns false if the pool has a server, or lost its last one to an announced
+/// reclaim.
 bool startElsewhere(State &state, Request &request);
 
 } // namespace snipestall::policy
--- a/src/snipestall/policy/stranded_test.cpp
+++ b/src/snipestall/policy/stranded_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-/// Requests that were accepted by an instance that has no backend server for them.
+/// Tests requests that were accepted by an instance that has no backend server for them.
 class StrandedTest : public testing::Test
 {
 protected:
@@ -20,7 +20,7 @@
         m_fleet.start();
     }
 
-    void peerTells(std::uint32_t freeSlots)
+    void peerReports(std::uint32_t freeSlots)
     {
         PeerSummary summary { { 7 }, "samsun-2", "samsun-hall", {} };
         summary.pools.emplace_back().service = "airtime";
@@ -45,33 +45,34 @@
     FakeFleet m_fleet;
 };
 
-// A caller's review shows no word for a minute, then fails as expired, beside idle engines of
-// another instance. In the crowd after a reclaim each peer had declined it; it had used up its
-// offers and waited here, where no engine was left to wait for.
-TEST_F(StrandedTest, WhatAllPeersDeclinedIsOfferedAgainWhenOneHasRoom)
+// A caller's review gets no answer for a minute and then fails as expired, although another
+// instance has idle engines. In the overload after a reclaim each peer declined the review; it used
+// up its offers and waited here, where no engine was left to wait for.
+TEST_F(StrandedTest, ARequestThatAllPeersDeclinedIsOfferedAgainWhenOneHasRoom)
 {
-    peerTells(3);
+    peerReports(3);
     const RequestHandle request = m_fleet.send(patient(false));
     for (int i = 0; i < 3; ++i) {
         ASSERT_EQ(m_fleet.of(request).forwards.size(), static_cast<std::size_t>(i + 1));
         peerDeclines(request);
         m_fleet.runFor(1s);
-        peerTells(i < 2 ? 3 : 0);
+        peerReports(i < 2 ? 3 : 0);
     }
     m_fleet.runFor(1s);
     ASSERT_EQ(m_fleet.of(request).forwards.size(), 3U);
-    peerTells(3);
+    peerReports(3);
     EXPECT_EQ(m_fleet.of(request).forwards.size(), 4U);
 }
 
-// The same crowd: a hundred such requests wait here. Offered all at once to the peer that has a
-// slot free, they would take it from what arrives there; one summary's room is spent once.
-TEST_F(StrandedTest, RoomThatAPeerToldIsSpentOnce)
+// In the same overload twenty such requests wait here. If all were offered at once to a peer that
+// has a slot free, they would take it from requests that arrive there; the room of one summary must
+// be used once.
+TEST_F(StrandedTest, ReportedRoomOfAPeerIsUsedOnce)
 {
     constexpr int Requests = 20;
     std::vector<RequestHandle> crowd;
     crowd.reserve(Requests);
-    peerTells(1000);
+    peerReports(1000);
     for (int i = 0; i < Requests; ++i)
         crowd.push_back(m_fleet.send(patient(false)));
     for (std::size_t offers = 1; offers <= 3; ++offers) {
@@ -79,10 +80,10 @@
             ASSERT_EQ(m_fleet.of(request).forwards.size(), offers);
             peerDeclines(request);
         }
-        peerTells(offers < 3 ? 1000 : 0);
+        peerReports(offers < 3 ? 1000 : 0);
     }
-    // Four fifths of what a summary tells are believed.
-    peerTells(5);
+    // Four fifths of the free slots in a summary are used.
+    peerReports(5);
     EXPECT_EQ(std::ranges::count_if(crowd,
                                     [this](RequestHandle request) {
                                         return m_fleet.of(request).forwards.size() > 3;
@@ -90,10 +91,10 @@
               4);
 }
 
-// A review that one instance had forwarded to the owner of its engine hangs until its deadline,
-// beside a peer with room: the engine was taken back with notice while the review waited for it,
-// and the owner, who may not forward it on, kept it.
-TEST_F(StrandedTest, WhatWaitsHereForAReclaimedServerGoesHomeOnceAPeerHasRoom)
+// A review that was forwarded to the owner of an engine waits until its deadline, although a peer
+// has room: the engine was reclaimed with notice while the review waited for it, and the owner,
+// which may not forward the review on, kept it.
+TEST_F(StrandedTest, ForwardedRequestsOfAReclaimedServerGoHomeOnceAPeerHasRoom)
 {
     const ServerHandle only = m_fleet.addServer(1);
     m_fleet.send(patient(true));
@@ -101,9 +102,9 @@
     m_fleet.reclaim(only, 1s);
     m_fleet.runFor(2s);
     ASSERT_FALSE(m_fleet.of(waiting).refused);
-    peerTells(0);
+    peerReports(0);
     EXPECT_FALSE(m_fleet.of(waiting).refused);
-    peerTells(2);
+    peerReports(2);
     ASSERT_TRUE(m_fleet.of(waiting).refused);
     EXPECT_EQ(m_fleet.of(waiting).refused->reason, RefusalReason::NoCapacity);
     EXPECT_TRUE(m_fleet.of(waiting).forwards.empty());
--- a/src/snipestall/policy/shifting.cpp
+++ b/src/snipestall/policy/stream_move.cpp
@@ -1,4 +1,4 @@
-#include "snipestall/policy/shifting.hpp"
+#include "snipestall/policy/stream_move.hpp"
 
 #include "snipestall/policy/lifecycle.hpp"
 #include "snipestall/policy/state.hpp"
@@ -13,26 +13,28 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Estimates of what is left to generate are off by some; a stream that is cut in its last token
-/// is recomputed whole, so only those that need clearly less than the notice stay.
-constexpr double TrustedNotice = 0.7;
+/// Estimates of the remaining output are imprecise, and a stream that is cut at its last token is
+/// recomputed as a whole. Only streams that need clearly less time than the notice stay.
+constexpr double UsableNoticeFraction = 0.7;
 
-/// Held back from the notice for the order itself to reach the engine.
-constexpr Duration OrderTime = std::chrono::milliseconds(100);
+/// Part of the notice that is held back for the command to reach the engine.
+constexpr Duration CommandLatency = std::chrono::milliseconds(100);
 
-/// KV cache that one server exports a second, in tokens: 128 KB a token over half of a 25 Gbit/s
-/// link. Overrated, and exports are cut off half-way; underrated, and more is recomputed.
+/// KV cache that one server can export per second, in tokens: 128 KB per token over half of a 25
+/// Gbit/s link. If the rate is overestimated, exports are cut off half-way; if it is
+/// underestimated, more is recomputed.
 constexpr double ExportTokensPerSecond = 12000;
 
-/// A shorter context is recomputed faster than an export is set up.
-constexpr std::uint32_t LeastExport = 256;
+/// Recomputing a shorter context is faster than setting up an export.
+constexpr std::uint32_t MinExportTokens = 256;
 
-/// Load: half of a pool is reclaimed and its streams arrive at the survivors at once. Each import
-/// stalls the streams beside it, so a server takes two at a time and the rest follow in waves.
+/// When half of a pool is reclaimed, its streams arrive at the surviving servers at once. Each
+/// import stalls the streams beside it, so a server imports two at a time and the rest follow in
+/// waves.
 constexpr std::uint32_t MaxImports = 2;
 
-/// Targets looked at for one stream.
-constexpr std::size_t TargetsLookedAt = 8;
+/// Number of targets examined for one stream.
+constexpr std::size_t MaxTargetsTried = 8;
 
 std::uint32_t contextOf(const Request &request)
 {
@@ -45,23 +47,24 @@
         Seconds(contextOf(request) / ExportTokensPerSecond));
 }
 
-Duration timeLeft(const State &state, const Request &request)
+Duration remainingTime(const State &state, const Request &request)
 {
     if (request.maxTokens == 0)
-        return std::max(Duration::zero(), request.dispatchedAt + request.service - state.now);
-    // Answers longer than usual are the ones still running; plan for the whole length.
-    const std::uint32_t most = std::max(request.maxTokens, request.produced);
-    const Duration output = request.pool->serviceTime.perOutputToken() * (most - request.produced);
-    const Duration prompt = request.pool->serviceTime.prompt(request.promptTokens);
+        return std::max(Duration::zero(), request.dispatchedAt + request.slotTime - state.now);
+    // Streams still running tend to be longer than usual, so the whole length is assumed.
+    const std::uint32_t maxOutput = std::max(request.maxTokens, request.produced);
+    const Duration output =
+        request.pool->serviceTime.outputTokenTime() * (maxOutput - request.produced);
+    const Duration prompt = request.pool->serviceTime.promptTime(request.promptTokens);
     return request.firstTokenSeen ? output : prompt + output;
 }
 
 bool canFinish(const State &state, const Request &request, Duration notice)
 {
-    return Seconds(timeLeft(state, request)) <= TrustedNotice * Seconds(notice);
+    return Seconds(remainingTime(state, request)) <= UsableNoticeFraction * Seconds(notice);
 }
 
-PlannedMove moveOf(Request &request)
+PlannedMove plannedMoveOf(Request &request)
 {
     return { request.moveCost, request.handle.value, &request };
 }
@@ -70,18 +73,18 @@
 {
     request.moving = true;
     request.moveCost = contextOf(request);
-    request.pool->moves.insert(moveOf(request));
+    request.pool->moves.insert(plannedMoveOf(request));
 }
 
-/// Exports share their server's link, one after the other; the dearest come first, and what no
-/// longer fits before the notice runs out is resumed.
+/// Exports share their server's link, one after the other. The streams that cost most to recompute
+/// come first, and a stream whose export no longer fits into the notice is resumed.
 MoveMethod methodFor(const State &state, const Request &request)
 {
     Server &source = *request.server;
-    const bool worthIt = request.firstTokenSeen && contextOf(request) >= LeastExport;
-    const Time start = std::max(source.exportsEnd, state.now + OrderTime);
+    const bool worthExporting = request.firstTokenSeen && contextOf(request) >= MinExportTokens;
+    const Time start = std::max(source.exportsEnd, state.now + CommandLatency);
     const Time end = start + exportTime(request);
-    if (!worthIt || end > source.noticeEnds)
+    if (!worthExporting || end > source.noticeEnds)
         return MoveMethod::Resume;
     source.exportsEnd = end;
     return MoveMethod::ExportKv;
@@ -89,15 +92,15 @@
 
 Server *targetFor(const State &state, const Request &request)
 {
-    const double lossSeconds = Seconds(request.service).count() / 2;
-    for (Server *server : request.pool->index.best(state.now, lossSeconds, TargetsLookedAt)) {
-        if (server->imports < MaxImports && server->standing == Standing::Healthy)
+    const double lossSeconds = Seconds(request.slotTime).count() / 2;
+    for (Server *server : request.pool->index.best(state.now, lossSeconds, MaxTargetsTried)) {
+        if (server->imports < MaxImports && server->healthState == HealthState::Healthy)
             return server;
     }
     return nullptr;
 }
 
-/// No slot is free here; late in the notice a peer's free slot is better than none.
+/// When no slot is free here, a peer's free slot is used once half of the notice has passed.
 std::optional<PeerHandle> peerFor(const State &state, const Request &request)
 {
     const Server &source = *request.server;
@@ -113,7 +116,7 @@
 void moveToPeer(State &state, Request &request, PeerHandle peer)
 {
     state.emit(CancelAttempt { request.handle, request.attempt });
-    withdraw(state, request);
+    leavePhase(state, request);
     estimate(request);
     forward(state, request, peer);
 }
@@ -134,8 +137,8 @@
 
 } // namespace
 
-// A non-idempotent call is never moved: its second start would be its second run. It ends there,
-// or its fate is unknown.
+// A non-idempotent call is never moved, because a second start would be a second run. It ends on
+// its server, or its outcome is unknown.
 void planMoves(State &state, Server &server)
 {
     const Duration notice = server.noticeEnds - state.now;
@@ -150,9 +153,9 @@
 {
     while (const auto handle = state.notices.popDue(state.now)) {
         if (const Server *server = state.findServer(*handle))
-            state.touch(*server->pool);
+            state.markChanged(*server->pool);
     }
-    for (const std::string &service : state.touched) {
+    for (const std::string &service : state.changedPools) {
         Pool &pool = state.pool(service);
         while (!pool.moves.empty()) {
             if (!moveOne(state, *pool.moves.begin()->request))
@@ -161,11 +164,11 @@
     }
 }
 
-void forgetMove(Request &request)
+void cancelMove(Request &request)
 {
     if (!request.moving)
         return;
-    request.pool->moves.erase(moveOf(request));
+    request.pool->moves.erase(plannedMoveOf(request));
     request.moving = false;
 }
 
--- a/src/snipestall/policy/shifting_test.cpp
+++ b/src/snipestall/policy/stream_move_test.cpp
@@ -10,10 +10,10 @@
 using namespace std::chrono_literals;
 using Outcome = FakeFleet::Outcome;
 
-class ShiftingTest : public testing::Test
+class StreamMoveTest : public testing::Test
 {
 protected:
-    ShiftingTest()
+    StreamMoveTest()
     {
         m_fleet.addCustomer("newsroom");
         m_fleet.start();
@@ -54,7 +54,7 @@
     FakeFleet m_fleet;
 };
 
-TEST_F(ShiftingTest, WhatEndsWithinTheNoticeStays)
+TEST_F(StreamMoveTest, StreamsThatEndWithinTheNoticeStay)
 {
     const ServerHandle server = m_fleet.addServer(4);
     m_fleet.send(m_fleet.request("newsroom"));
@@ -67,9 +67,9 @@
     EXPECT_EQ(recomputed(), 0U);
 }
 
-// A review has run for ten seconds when its server gets notice. Cut off, its prompt and its
-// output so far would be worked through again.
-TEST_F(ShiftingTest, ALongStreamTakesItsCacheAlong)
+// A review has run for ten seconds when its server gets notice. If it were cut off, its prompt and
+// its output so far would be recomputed.
+TEST_F(StreamMoveTest, ALongStreamIsMovedWithItsCache)
 {
     const ServerHandle server = m_fleet.addServer(4);
     m_fleet.send(review());
@@ -82,8 +82,9 @@
     EXPECT_EQ(recomputed(), 0U);
 }
 
-// The notice is too short to export all; what is exported should be what costs most to recompute.
-TEST_F(ShiftingTest, AShortNoticeGoesToTheDearestStreams)
+// The notice is too short to export all streams; those that cost most to recompute should be
+// exported.
+TEST_F(StreamMoveTest, AShortNoticeIsUsedForTheStreamsCostliestToRecompute)
 {
     const ServerHandle server = m_fleet.addServer(8);
     for (std::uint32_t i = 1; i <= 6; ++i)
@@ -102,9 +103,9 @@
     }
 }
 
-// Two servers of four get notice at once. Were all their streams imported at the same moment, the
-// survivors' own streams would stall.
-TEST_F(ShiftingTest, ATargetImportsTwoAtATime)
+// Two servers of four get notice at once. If all their streams were imported at the same moment,
+// the streams of the surviving servers would stall.
+TEST_F(StreamMoveTest, ATargetImportsTwoAtATime)
 {
     std::vector<ServerHandle> servers;
     servers.reserve(4);
@@ -123,10 +124,10 @@
     EXPECT_EQ(moves(MoveMethod::ExportKv) + moves(MoveMethod::Resume), 8);
 }
 
-// Half of the pool is reclaimed at five seconds' notice, under a load that the rest can
-// just carry, and no replacement comes.
-// Each accepted request must be answered, once, and little may be recomputed.
-TEST_F(ShiftingTest, AWaveOfReclaimsLosesNothing)
+// Half of the pool is reclaimed at five seconds' notice, under a load that the rest can just carry,
+// and no replacement comes. Each accepted request must be answered exactly once, and little may be
+// recomputed.
+TEST_F(StreamMoveTest, AWaveOfReclaimsLosesNothing)
 {
     std::vector<ServerHandle> servers;
     servers.reserve(8);
@@ -145,8 +146,9 @@
     EXPECT_LE(recomputed(), lostWithoutMoves / 4);
 }
 
-// A balance change runs on a server under notice. Started again elsewhere it would run twice.
-TEST_F(ShiftingTest, ANonIdempotentCallIsNeverMoved)
+// A balance change runs on a server under notice. If it were started again elsewhere, it would run
+// twice.
+TEST_F(StreamMoveTest, ANonIdempotentCallIsNeverMoved)
 {
     const ServerHandle server = m_fleet.addServer(4);
     RequestArrived event = review();
@@ -162,7 +164,7 @@
 }
 
 // The whole data centre is under notice; only a peer elsewhere has slots.
-TEST_F(ShiftingTest, WithoutATargetHereAStreamGoesToAPeer)
+TEST_F(StreamMoveTest, WithoutATargetHereAStreamGoesToAPeer)
 {
     const ServerHandle server = m_fleet.addServer(4);
     const RequestHandle request = m_fleet.send(review());
--- a/src/snipestall/policy/timer_set.hpp
+++ b/src/snipestall/policy/timer_set.hpp
@@ -8,7 +8,7 @@
 
 namespace snipestall::policy {
 
-/// Times at which something is due for the row of a table, ordered; each change is O(log n).
+/// Ordered set of timers, each for the row of a table; each change costs O(log n).
 template<typename HandleType>
 class TimerSet
 {
@@ -21,7 +21,7 @@
             m_timers.erase(it);
     }
 
-    /// Takes out one timer that is due.
+    /// Takes out one timer that is due; no value when none is.
     std::optional<HandleType> popDue(Time now)
     {
         if (m_timers.empty() || m_timers.begin()->first > now)
--- a/src/snipestall/policy/token_bucket.cpp
+++ b/src/snipestall/policy/token_bucket.cpp
@@ -6,8 +6,8 @@
 namespace snipestall::policy {
 namespace {
 
-/// Wait told when nothing at all is allowed; asking earlier can't succeed without new settings.
-constexpr Duration ClosedWait = std::chrono::seconds(60);
+/// Wait returned when the rate is zero; an earlier retry can't succeed without new settings.
+constexpr Duration ZeroRateWait = std::chrono::seconds(60);
 
 double seconds(Duration duration)
 {
@@ -29,7 +29,7 @@
 Duration TokenBucket::waitFor(Time now, double cost) const
 {
     if (m_perSecond <= 0)
-        return ClosedWait;
+        return ZeroRateWait;
     const double missing = std::min(cost, m_burst) - levelAt(now);
     if (missing <= 0)
         return Duration::zero();
@@ -40,17 +40,17 @@
 void TokenBucket::take(Time now, double cost)
 {
     m_level = levelAt(now) - cost;
-    m_filledAt = now;
+    m_updatedAt = now;
 }
 
-void TokenBucket::giveBack(double cost)
+void TokenBucket::refund(double cost)
 {
     m_level = std::min(m_burst, m_level + cost);
 }
 
 double TokenBucket::levelAt(Time now) const
 {
-    const double gained = m_perSecond * seconds(now - m_filledAt);
+    const double gained = m_perSecond * seconds(now - m_updatedAt);
     return std::min(m_burst, m_level + gained);
 }
 
--- a/src/snipestall/policy/token_bucket.hpp
+++ b/src/snipestall/policy/token_bucket.hpp
@@ -4,8 +4,9 @@
 
 namespace snipestall::policy {
 
-/// Rate limit with a burst. A cost above the burst is let through when the bucket is full and
-/// leaves a debt, so that one long request is delayed by its own size instead of barred for ever.
+/// Rate limit with a burst. A cost above the burst is allowed when the bucket is full and leaves a
+/// debt, so that one long request is delayed in proportion to its size instead of being refused for
+/// ever.
 class TokenBucket
 {
 public:
@@ -17,8 +18,8 @@
 
     void take(Time now, double cost);
 
-    /// Corrects an estimate: `cost` was taken but not used.
-    void giveBack(double cost);
+    /// Corrects an estimate by `cost` that was taken but not used.
+    void refund(double cost);
 
 private:
     [[nodiscard]] double levelAt(Time now) const;
@@ -26,7 +27,7 @@
     double m_perSecond = 0;
     double m_burst = 0;
     double m_level = 0;
-    Time m_filledAt;
+    Time m_updatedAt;
     bool m_configured = false;
 };
 
--- a/src/snipestall/policy/wait_estimate.cpp
+++ b/src/snipestall/policy/wait_estimate.cpp
@@ -15,33 +15,35 @@
     return std::chrono::duration_cast<Duration>(parts);
 }
 
-/// Least part of the slots that a lane gets when all want them; the queue's turns see to it.
-double leastPart(Lane lane)
+/// Least share of the slots that a lane gets when all lanes want them; FairQueue::next() guarantees
+/// it.
+double minShare(Lane lane)
 {
-    constexpr double NormalPart = 0.75;
-    constexpr double PatientPart = 0.25;
+    constexpr double NormalShare = 0.75;
+    constexpr double PatientShare = 0.25;
     switch (lane) {
     case Lane::Urgent:
         return 1.0;
     case Lane::Normal:
-        return NormalPart;
+        return NormalShare;
     case Lane::Patient:
-        return PatientPart;
+        return PatientShare;
     }
     return 1.0;
 }
 
-/// Slots at which the lane drains: what it was given of late, while it queued, or its least part.
-/// More urgent lanes go first, so that the whole pool is no measure for patient work.
-double drainOf(const Pool &pool, Lane lane)
+/// Number of slots that drain the lane: the number that it recently used while it was queued, or at
+/// least its least share. More urgent lanes go first, so the whole pool would be an overestimate
+/// for patient work.
+double drainSlots(const Pool &pool, Lane lane)
 {
     const double slots = pool.slotsFor(lane);
-    const double served = pool.served[indexOf(lane)].at(pool.now);
-    const double least = std::min(slots, leastPart(lane) * pool.slotsFor(Lane::Normal));
-    return std::clamp(served, least, slots);
+    const double servedLoad = pool.servedLoad[indexOf(lane)].at(pool.now);
+    const double least = std::min(slots, minShare(lane) * pool.slotsFor(Lane::Normal));
+    return std::clamp(servedLoad, least, slots);
 }
 
-/// Share of the pool that the flow gets while others want it too.
+/// Share of the pool that the flow gets while other flows want it too.
 double shareOf(const Pool &pool, const Flow &flow)
 {
     const double weight = std::max(flow.leaf.weight, 1e-6);
@@ -60,11 +62,12 @@
     if (pool.freeFor(lane) > 0 && pool.queue.size(lane) == 0)
         return Duration::zero();
     const Flow &flow = *request.flow;
-    const double drain = drainOf(pool, lane);
-    // A customer waits behind its own work at its share of the pool, not behind another's flood.
-    const Duration ownWork = flow.queuedService[indexOf(lane)];
+    const double drain = drainSlots(pool, lane);
+    // A customer waits behind its own work at its share of the pool, not behind another customer's
+    // flood.
+    const Duration ownWork = flow.queuedSlotTime[indexOf(lane)];
     const Duration own = divided(ownWork, drain * shareOf(pool, flow));
-    const Duration nextSlot = divided(request.service, totals.slots);
+    const Duration nextSlot = divided(request.slotTime, totals.slots);
     return own + nextSlot;
 }
 
@@ -72,7 +75,7 @@
 {
     if (pool.index.totals().slots == 0)
         return std::nullopt;
-    return divided(pool.queue.service(lane), drainOf(pool, lane));
+    return divided(pool.queue.queuedSlotTime(lane), drainSlots(pool, lane));
 }
 
 } // namespace snipestall::policy
