--- a/src/snipestall/policy/world.cpp
+++ b/src/snipestall/policy/world.cpp
@@ -6,10 +6,10 @@
 #include "snipestall/policy/fleet.hpp"
 #include "snipestall/policy/health.hpp"
 #include "snipestall/policy/outcomes.hpp"
-#include "snipestall/policy/placing.hpp"
+#include "snipestall/policy/placement.hpp"
 #include "snipestall/policy/retry.hpp"
-#include "snipestall/policy/shifting.hpp"
 #include "snipestall/policy/state.hpp"
+#include "snipestall/policy/stream_move.hpp"
 #include "snipestall/policy/wait_estimate.hpp"
 
 #include <algorithm>
@@ -18,8 +18,8 @@
 namespace snipestall::policy {
 namespace {
 
-/// Hands each event to the table it changes.
-struct Intake
+/// Passes each event to the function that applies it to the tables.
+struct EventHandler
 {
     State &state;
 
@@ -42,8 +42,8 @@
 
 using System = void (*)(State &);
 
-/// The order is part of the contract: what is given up on frees no slot, what ended does, and
-/// placing sees the result of all others.
+/// The order is part of the contract: requests that expire in the queue free no slot, requests that
+/// end do, and placeQueued() sees the results of all others.
 constexpr System Systems[] = { &expireQueued,  &endPenalties, &reviewServers,
                                &resumeDelayed, &moveStreams,  &placeQueued };
 
@@ -54,11 +54,12 @@
     return std::min(*a, *b);
 }
 
-/// Fingerprints told to peers in one summary; a summary stays about 40 bytes on a usual day.
-constexpr std::size_t QuarantinesTold = 8;
+/// Largest number of fingerprints sent to peers in one summary; a summary usually stays at about 40
+/// bytes.
+constexpr std::size_t MaxQuarantinesSent = 8;
 
-/// Prefixes told to peers of one pool: 64 bytes.
-constexpr std::size_t PrefixesTold = 16;
+/// Largest number of prefixes sent to peers for one pool: 64 bytes.
+constexpr std::size_t MaxPrefixesSent = 16;
 
 PoolSummary summaryOf(const Pool &pool)
 {
@@ -71,7 +72,7 @@
     summary.wait = expectedWait(pool, Lane::Normal).value_or(Duration::zero());
     summary.patientWait = expectedWait(pool, Lane::Patient);
     summary.urgentWait = expectedWait(pool, Lane::Urgent);
-    summary.prefixSketch = pool.heat.hottest(PrefixesTold);
+    summary.prefixSketch = pool.heat.hottest(MaxPrefixesSent);
     describeHealth(pool, summary);
     return summary;
 }
@@ -100,7 +101,7 @@
     m_tables->now = std::max(m_tables->now, now);
     m_tables->commands = &commands;
     for (const Event &event : events)
-        std::visit(Intake { *m_tables }, event);
+        std::visit(EventHandler { *m_tables }, event);
     for (const System system : Systems)
         system(*m_tables);
     m_tables->commands = nullptr;
@@ -120,13 +121,14 @@
 {
     std::vector<PoolSummary> summaries;
     for (const auto &[service, pool] : m_tables->pools) {
-        // A leaving instance offers nothing: what it took now would be handed over at once.
-        // One whose servers are all ejected still tells that, and what it quarantined.
+        // A leaving instance offers nothing, because it would hand new requests over at once. An
+        // instance whose servers are all ejected still reports that, and the fingerprints it
+        // quarantined.
         if (!m_tables->leaving && !pool.servers.empty())
             summaries.push_back(summaryOf(pool));
     }
     if (!summaries.empty())
-        summaries.front().quarantined = m_tables->crashes.quarantined(now, QuarantinesTold);
+        summaries.front().quarantined = m_tables->crashes.quarantined(now, MaxQuarantinesSent);
     return summaries;
 }
 
--- a/src/snipestall/policy/world_property_test.cpp
+++ b/src/snipestall/policy/world_property_test.cpp
@@ -45,11 +45,11 @@
     return rc::gen::container<std::vector<Action>>(rc::gen::construct<Action>(kind, value));
 }
 
-/// Plays actions against a World; the same actions always in the same way.
-class Play
+/// Performs actions against a World; the same actions always give the same run.
+class ActionRunner
 {
 public:
-    Play()
+    ActionRunner()
     {
         m_fleet.addCustomer("ferries");
         m_fleet.addCustomer("cargo").concurrency = 5;
@@ -214,7 +214,7 @@
 
 RC_GTEST_PROP(WorldProperty, EveryRequestEndsExactlyOnce, ())
 {
-    Play play;
+    ActionRunner play;
     const FakeFleet &fleet = play.run(*actions());
     for (const auto &[handle, outcome] : fleet.outcomes)
         RC_ASSERT(outcome.ends == 1);
@@ -222,14 +222,14 @@
 
 RC_GTEST_PROP(WorldProperty, NoSlotIsOverfilledAndNoLeavingServerGetsWork, ())
 {
-    Play play;
+    ActionRunner play;
     const FakeFleet &fleet = play.run(*actions());
     RC_ASSERT(fleet.faults == std::vector<std::string> {});
 }
 
 RC_GTEST_PROP(WorldProperty, ANonIdempotentRequestThatWasCutIsNotSentAgain, ())
 {
-    Play play;
+    ActionRunner play;
     const FakeFleet &fleet = play.run(*actions());
     for (const auto &[handle, outcome] : fleet.outcomes) {
         if (!outcome.request.idempotent)
@@ -240,8 +240,8 @@
 RC_GTEST_PROP(WorldProperty, TheSameEventsGiveTheSameCommands, ())
 {
     const std::vector<Action> script = *actions();
-    Play first;
-    Play second;
+    ActionRunner first;
+    ActionRunner second;
     const FakeFleet &one = first.run(script);
     const FakeFleet &other = second.run(script);
     RC_ASSERT(describe(one.log) == describe(other.log));
--- a/src/snipestall/policy/world_test.cpp
+++ b/src/snipestall/policy/world_test.cpp
@@ -56,9 +56,9 @@
     EXPECT_TRUE(std::holds_alternative<CancelAttempt>(m_fleet.last.front()));
 }
 
-// All instances read the same summary. If each believed it for every request until the next one,
-// all would flood the peer that was idle a moment ago.
-TEST_F(WorldTest, OneSummaryIsSpentOnlyOnce)
+// All instances read the same summary. If each used it for every request until the next one, all
+// would flood the peer that was idle a moment ago.
+TEST_F(WorldTest, RoomOfASummaryIsUsedOnlyOnce)
 {
     m_fleet.give(summary(7, 5));
     m_fleet.give(summary(8, 5));
@@ -96,7 +96,7 @@
     EXPECT_EQ(m_fleet.of(request).forwards.back().peer, PeerHandle { 8 });
 }
 
-TEST_F(WorldTest, AnOldSummaryIsNotBelieved)
+TEST_F(WorldTest, AnOldSummaryIsIgnored)
 {
     m_fleet.give(summary(7, 3));
     m_fleet.runFor(4s);
@@ -104,7 +104,7 @@
     EXPECT_TRUE(m_fleet.of(request).forwards.empty());
 }
 
-TEST_F(WorldTest, ALeavingInstanceRefusesNewWorkAndKeepsWhatItHas)
+TEST_F(WorldTest, ALeavingInstanceRefusesNewRequestsAndFinishesAcceptedOnes)
 {
     m_fleet.addServer(1);
     const RequestHandle kept = m_fleet.send(m_fleet.request("ferries"));
@@ -120,9 +120,9 @@
     EXPECT_TRUE(m_fleet.world->summaries(m_fleet.now).empty());
 }
 
-// The platform's list lags: it reports a server as up again after its notice. Work sent there
-// would be lost within seconds, so the notice holds for that incarnation.
-TEST_F(WorldTest, ANoticeHoldsThoughTheListCallsTheServerLive)
+// The platform's list lags: it reports a server as up again after its notice. Work sent there would
+// be lost within seconds, so the notice holds for that incarnation.
+TEST_F(WorldTest, ANoticeHoldsWhenTheListReportsTheServerAsUp)
 {
     const ServerHandle server = m_fleet.addServer(2);
     m_fleet.leave(server, 5s);
@@ -134,8 +134,9 @@
     EXPECT_EQ(m_fleet.servers[server.value].dispatched, 0U);
 }
 
-// A balance change is sent, the connection breaks, and nobody can tell whether it ran. Sent
-// again it would be booked twice, so the policy ends it there; the edge answers `unknown`.
+// A balance change is sent, the connection breaks, and it is unknown whether it ran. If it were
+// sent again, it would be booked twice, so the policy ends it there and the I/O layer answers
+// `unknown`.
 TEST_F(WorldTest, ASentNonIdempotentRequestIsNeverRetried)
 {
     const ServerHandle server = m_fleet.addServer(1);
