--- a/apps/snipestall_gateway/main.cpp
+++ b/apps/snipestall_gateway/main.cpp
@@ -15,10 +15,10 @@
 #include <sstream>
 
 DEFINE_string(settings, "",
-              "settings file (YAML); if not given, the file that the environment names");
+              "settings file (YAML); default: the path in the variable of --settings_variable");
 DEFINE_string(settings_variable, "",
               "environment variable that holds the path of the settings file");
-DEFINE_bool(check, false, "check the settings file, say what is wrong with it, and exit");
+DEFINE_bool(check, false, "check the settings file, print its faults, and exit");
 
 namespace {
 
@@ -77,8 +77,8 @@
     };
     waitForSignal();
     io.run();
-    // Requests that were cut refer to the gateway, and the server for peers waits for calls that
-    // this loop would have answered: neither is torn down.
+    // Neither the gateway nor the server for peers is destroyed: unfinished requests refer to the
+    // gateway, and the server waits for calls that only this loop could answer.
     snipestall::finishLog();
     std::_Exit(ExitOk);
 }
@@ -87,7 +87,7 @@
 
 int main(int argc, char **argv)
 {
-    gflags::SetUsageMessage("one gateway instance of snipestall\n"
+    gflags::SetUsageMessage("runs one gateway instance of snipestall\n"
                             "  snipestall-gateway [--settings FILE] [--check]");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     snipestall::initLog(snipestall::LogFormat::Json, snipestall::Severity::Info);
--- a/include/snipestall/gateway/attempt_watch.hpp
+++ b/include/snipestall/gateway/attempt_watch.hpp
@@ -11,21 +11,22 @@
 
 class BackendCall;
 
-/// An attempt without an answer so far.
+/// An attempt that has not received the first byte of its answer.
 struct WatchedAttempt
 {
     std::shared_ptr<BackendCall> call;
     serving::ServerStatePtr server;
     SteadyTime sentAt;
-    /// How long the server needs until the first byte, as far as is known.
+    /// Estimated time from the send to the first byte; 0 if there is no estimate.
     std::chrono::duration<double> predicted { 0 };
 };
 
-/// Attempts that wait for their first byte; gives up those whose server seems to be gone.
+/// Attempts that wait for the first byte of their answer. Aborts those whose server seems to have
+/// failed.
 class AttemptWatch : public WatchList<WatchedAttempt>
 {
 public:
-    /// To be called several times a second.
+    /// Aborts the attempts that are stalled at `now`. The caller calls it several times a second.
     void check(SteadyTime now);
 };
 
--- a/include/snipestall/gateway/backend_call.hpp
+++ b/include/snipestall/gateway/backend_call.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "snipestall/gateway/backend_link.hpp"
+#include "snipestall/gateway/backend_connection.hpp"
 #include "snipestall/wire/endpoint.hpp"
 #include "snipestall/wire/task.hpp"
 
@@ -19,21 +19,21 @@
 
 class BackendPool;
 
-/// How the first part of a call ended.
+/// Result of sending a request and waiting for the head of its answer.
 enum class CallStart {
-    /// The head of the answer is there.
+    /// The head of the answer has been read.
     Answered,
-    /// No byte was sent.
+    /// No connection could be opened, so no byte was sent.
     Unreachable,
-    /// The request may have run; its answer will not come.
+    /// The request may have run, but its answer will not arrive.
     Lost,
-    /// As Lost, at the time limit.
+    /// The request may have run, but its answer did not begin before the deadline.
     TimedOut,
-    /// No byte was sent, because nobody waits for the answer any more.
+    /// No byte was sent, because the request was no longer wanted.
     Unwanted,
 };
 
-/// One piece of an answer's body.
+/// Result of reading one piece of an answer's body.
 struct BodyRead
 {
     enum class Kind {
@@ -46,11 +46,12 @@
     std::string bytes;
 };
 
-/// One request to one backend server, and its answer as it comes.
+/// One request to one backend server and the server's answer, which is read piece by piece.
 ///
-/// Failures it guards against: an answer to an earlier request that arrives late on a kept
-/// connection (told by the attempt id that servers echo, and dropped); an answer that comes before
-/// the request's body is written (the connection is not used again); bytes beyond an answer (same).
+/// Failures it guards against: an answer to an earlier request arrives late on a reused connection
+/// (it is recognized by the attempt id that servers echo, and dropped); an answer arrives before
+/// the request's body is written (the connection is not reused); bytes follow the end of an answer
+/// (the connection is not reused).
 class BackendCall : public std::enable_shared_from_this<BackendCall>
 {
 public:
@@ -61,37 +62,39 @@
                 std::string server, wire::Endpoint address);
     ~BackendCall();
 
-    /// Whether the request is to be sent; asked right before its first byte.
-    using Wanted = std::function<bool()>;
+    /// Returns whether the request is still to be sent. It is called right before the first byte is
+    /// sent.
+    using IsWanted = std::function<bool()>;
 
-    /// Sends the request and reads the answer's head.
+    /// Sends the request and reads the head of the answer.
     wire::Task<CallStart> start(Request request, std::string attemptId,
-                                std::chrono::milliseconds connectTimeout, SteadyTime until,
-                                Wanted wanted);
+                                std::chrono::milliseconds connectTimeout, SteadyTime deadline,
+                                IsWanted isWanted);
     [[nodiscard]] const Head &head() const { return m_parser->get(); }
-    wire::Task<BodyRead> readBody(SteadyTime until);
-    /// Closes the connection, which makes the server drop the request. What awaits returns.
+    wire::Task<BodyRead> readBody(SteadyTime deadline);
+    /// Closes the connection, which makes the server drop the request. Pending operations return.
     void abort();
-    /// Nobody listens at the server's address.
+    /// Returns true if the connection was refused: no process listens at the server's address.
     [[nodiscard]] bool refused() const { return m_refused; }
-    /// The same, or the server took no connection: one that is ending resets those that wait.
-    [[nodiscard]] bool turnedAway() const { return m_turnedAway; }
-    /// A byte of the request may have reached the server.
+    /// Returns true if the connection was refused or reset while it was being opened. A server that
+    /// is shutting down resets connections that it has not accepted yet.
+    [[nodiscard]] bool connectionRejected() const { return m_connectionRejected; }
+    /// Returns true if a byte of the request may have reached the server.
     [[nodiscard]] bool maybeSent() const { return m_maybeSent; }
-    /// When the last byte of the answer arrived, or the request was sent.
-    [[nodiscard]] SteadyTime lastHeard() const { return m_lastHeard; }
+    /// Time at which the last byte of the answer arrived; the time of the send if none has arrived.
+    [[nodiscard]] SteadyTime lastReceivedAt() const { return m_lastReceivedAt; }
 
 private:
     using Parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
 
     wire::Task<bool> connect(std::chrono::milliseconds timeout);
     wire::Task<void> writeRequest();
-    wire::Task<boost::system::error_code> readHead(SteadyTime until);
-    wire::Task<boost::system::error_code> dropBody(SteadyTime until);
-    void leaveUnsent(bool connected);
-    void beginAnswer();
+    wire::Task<boost::system::error_code> readHead(SteadyTime deadline);
+    wire::Task<boost::system::error_code> discardBody(SteadyTime deadline);
+    void releaseUnsent(bool connected);
+    void resetParser();
     void keepConnection();
-    void expireAt(SteadyTime until);
+    void setDeadline(SteadyTime deadline);
 
     boost::asio::io_context &m_io;
     BackendPool &m_pool;
@@ -99,14 +102,14 @@
     std::string m_server;
     wire::Endpoint m_address;
     Request m_request;
-    BackendLinkPtr m_link;
+    BackendConnectionPtr m_connection;
     std::optional<Parser> m_parser;
     std::string m_attemptId;
-    SteadyTime m_lastHeard;
+    SteadyTime m_lastReceivedAt;
     bool m_maybeSent = false;
     bool m_refused = false;
-    bool m_turnedAway = false;
-    bool m_written = false;
+    bool m_connectionRejected = false;
+    bool m_requestWritten = false;
     bool m_aborted = false;
 };
 
--- a/include/snipestall/gateway/backend_link.hpp
+++ b/include/snipestall/gateway/backend_connection.hpp
@@ -11,18 +11,18 @@
 namespace snipestall::gateway {
 
 /// One connection to a backend server.
-struct BackendLink
+struct BackendConnection
 {
-    explicit BackendLink(boost::asio::io_context &io)
+    explicit BackendConnection(boost::asio::io_context &io)
         : stream(io)
     { }
 
     boost::beast::tcp_stream stream;
     boost::beast::flat_buffer buffer;
-    /// The server closes the connection if it stays idle for longer.
+    /// Time until which the connection may stay idle; the server closes it later on.
     SteadyTime idleUntil;
 };
 
-using BackendLinkPtr = std::unique_ptr<BackendLink>;
+using BackendConnectionPtr = std::unique_ptr<BackendConnection>;
 
 } // namespace snipestall::gateway
--- a/include/snipestall/gateway/backend_pool.hpp
+++ b/include/snipestall/gateway/backend_pool.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "snipestall/gateway/backend_link.hpp"
+#include "snipestall/gateway/backend_connection.hpp"
 
 #include <string>
 #include <unordered_map>
@@ -8,22 +8,23 @@
 
 namespace snipestall::gateway {
 
-/// Idle connections to backend servers, by the server's id.
+/// Idle connections to backend servers, by the id of the server.
 class BackendPool
 {
 public:
-    /// Null if none can be used.
-    BackendLinkPtr take(const std::string &server, SteadyTime now);
-    void giveBack(const std::string &server, BackendLinkPtr link);
-    /// Closes what has ended or been idle for too long; to be called about once a second.
+    /// Removes and returns a usable connection; null if there is none.
+    BackendConnectionPtr take(const std::string &server, SteadyTime now);
+    void giveBack(const std::string &server, BackendConnectionPtr connection);
+    /// Closes connections that have ended or have been idle for too long. The caller calls it about
+    /// once a second.
     void prune(SteadyTime now);
     void drop(const std::string &server);
 
 private:
-    /// Connections that one server takes are shared by all instances, so few are kept idle.
-    static constexpr std::size_t MostIdlePerServer = 24;
+    /// All instances share the connections that one server accepts, so each keeps only a few idle.
+    static constexpr std::size_t MaxIdlePerServer = 24;
 
-    std::unordered_map<std::string, std::vector<BackendLinkPtr>> m_idle;
+    std::unordered_map<std::string, std::vector<BackendConnectionPtr>> m_idle;
 };
 
 } // namespace snipestall::gateway
--- a/include/snipestall/gateway/boot_clock.hpp
+++ b/include/snipestall/gateway/boot_clock.hpp
@@ -4,8 +4,8 @@
 
 namespace snipestall::gateway {
 
-/// Clock whose steady time goes on while the instance is suspended. Leases and the ages of what
-/// peers said must count that time; std::chrono::steady_clock does not.
+/// Clock whose steady time also advances while the instance is suspended. Leases and the ages of
+/// reports of peers must include that time; std::chrono::steady_clock does not.
 class BootClock final : public Clock
 {
 public:
--- a/include/snipestall/gateway/caller_answer.hpp
+++ b/include/snipestall/gateway/caller_answer.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "snipestall/gateway/caller_link.hpp"
+#include "snipestall/gateway/caller_connection.hpp"
 #include "snipestall/wire/task.hpp"
 
 #include <boost/beast/http/message.hpp>
@@ -9,61 +9,66 @@
 
 namespace snipestall::gateway {
 
-/// The answer to one request, as far as its caller has it; the only place that ends one as
-/// complete.
+/// The part of the answer to one request that its caller has received so far. Only this class marks
+/// an answer as complete.
 ///
-/// Failure: an answer may come from two runs. The second one fails, or answers with something else
-/// than the rest of what was begun, and its end is passed on as the end of the first: the caller
-/// takes a stream that lacks its last events, or a body of two halves, for a whole answer. What was
-/// begun decides here what may follow, and an end of any other kind closes the connection instead.
+/// Failure it guards against: an answer may be composed from two runs. The second run fails, or its
+/// answer is not the rest of what was begun, and its end is passed on as the end of the first: the
+/// caller takes a stream that lacks its last events, or a body made of two halves, for a whole
+/// answer. So the kind of answer that was begun determines what may follow. Any other end closes
+/// the connection instead.
 class CallerAnswer
 {
 public:
     enum class State {
-        /// Nothing has left; any answer can still be given.
+        /// No byte has been sent; any answer can still be given.
         NotBegun,
-        /// Events go out as they come; another run may go on after the last one.
+        /// Events are passed on as they arrive. After the last one, another run may continue the
+        /// stream.
         StreamingEvents,
-        /// A plain body too large to be held back goes out; only its own run can end it.
-        SpillingBody,
-        /// The caller has all it will get.
+        /// A plain body that is too large to be buffered is passed on as it arrives. Only the run
+        /// that produces it can complete it.
+        ForwardingBody,
+        /// Nothing more will be sent to the caller.
         Ended,
     };
 
-    explicit CallerAnswer(CallerLink &caller)
+    explicit CallerAnswer(CallerConnection &caller)
         : m_caller(caller)
     { }
 
     [[nodiscard]] State state() const { return m_state; }
-    /// A part has left, and nothing but its rest can follow.
+    /// Returns true if a part of the answer has been sent, so that only the rest of that answer can
+    /// follow.
     [[nodiscard]] bool begun() const
     {
-        return m_state == State::StreamingEvents || m_state == State::SpillingBody;
+        return m_state == State::StreamingEvents || m_state == State::ForwardingBody;
     }
     [[nodiscard]] bool ended() const { return m_state == State::Ended; }
-    /// Whether a server's answer can be passed on: as a new one, or as the rest of a stream, which
-    /// must have the status and the media type of what was begun.
-    [[nodiscard]] bool canGoOnWith(const boost::beast::http::response_header<> &head) const;
+    /// Returns whether an answer of a server can be passed on: as a new answer, or as the rest of a
+    /// stream. The rest must have the status and the media type of the part that was sent.
+    [[nodiscard]] bool canContinueWith(const boost::beast::http::response_header<> &head) const;
 
-    /// False, as from all that write, if the caller could not be reached.
-    wire::Task<bool> writeWhole(CallerLink::Answer answer);
+    /// Writes the whole answer. Like all functions that write, it returns false if the caller could
+    /// not be reached.
+    wire::Task<bool> writeWhole(CallerConnection::Answer answer);
     wire::Task<bool> beginEvents(boost::beast::http::response_header<> head);
     wire::Task<bool> beginBody(boost::beast::http::response_header<> head);
     wire::Task<bool> writePiece(std::string piece);
-    /// The run that streamed events has given its last one.
+    /// Completes the answer after the last event of a stream.
     wire::Task<bool> completeEvents() { return complete(State::StreamingEvents); }
-    /// The run whose body was spilled has given all of it.
-    wire::Task<bool> completeBody() { return complete(State::SpillingBody); }
-    /// Ends the connection, so that what was begun does not look complete.
-    void breakOff();
+    /// Completes the answer after the last piece of a body that is passed on as it arrives.
+    wire::Task<bool> completeBody() { return complete(State::ForwardingBody); }
+    /// Closes the connection, so that the part that was sent does not look complete.
+    void abort();
 
 private:
     wire::Task<bool> begin(State kind, boost::beast::http::response_header<> head);
     wire::Task<bool> complete(State kind);
 
-    CallerLink &m_caller;
+    CallerConnection &m_caller;
     State m_state = State::NotBegun;
-    /// Of the answer that was begun.
+    /// Status of the answer that was begun.
     unsigned m_status = 0;
     std::string m_mediaType;
 };
--- a/include/snipestall/gateway/caller_link.hpp
+++ b/include/snipestall/gateway/caller_connection.hpp
@@ -17,10 +17,10 @@
 
 namespace snipestall::gateway {
 
-/// What came of waiting for a caller's next request.
+/// Result of reading the next request of a caller.
 enum class RequestRead {
     Ok,
-    /// The connection ended or stayed idle for too long.
+    /// The connection was closed or stayed idle for too long.
     Closed,
     Malformed,
     HeaderTooLarge,
@@ -29,50 +29,52 @@
     HeaderTimeout,
 };
 
-/// One connection of a caller, which may carry many requests.
-class CallerLink : public std::enable_shared_from_this<CallerLink>
+/// One connection of a caller, which may carry several requests, one after the other.
+class CallerConnection : public std::enable_shared_from_this<CallerConnection>
 {
 public:
     using Request = boost::beast::http::request<boost::beast::http::string_body>;
     using Answer = boost::beast::http::response<boost::beast::http::string_body>;
 
-    explicit CallerLink(boost::asio::ip::tcp::socket socket);
+    explicit CallerConnection(boost::asio::ip::tcp::socket socket);
 
     wire::Task<RequestRead> readRequest(serving::TrafficLimits limits);
     /// The request that was read last.
     [[nodiscard]] Request &request() { return m_request; }
 
-    /// Calls back once if the caller closes its connection before `stopWatching`.
-    void watchLeaving(std::function<void()> left);
-    void stopWatching() { m_left = nullptr; }
-    /// Whether the caller has closed its connection, also if nothing has told so yet.
-    [[nodiscard]] bool hasLeft();
+    /// Calls `disconnected` once if the caller closes its connection before `stopWatching` is
+    /// called.
+    void watchForDisconnect(std::function<void()> disconnected);
+    void stopWatching() { m_onDisconnect = nullptr; }
+    /// Returns whether the caller has closed its connection, even if no callback has reported it
+    /// yet.
+    [[nodiscard]] bool hasDisconnected();
 
-    /// False if the caller could not be reached.
+    /// Writes a whole answer; returns false if the caller could not be reached.
     wire::Task<bool> write(Answer answer);
-    /// Begins an answer whose length is not known yet.
+    /// Writes the head of an answer whose length is not known yet.
     wire::Task<bool> beginStream(boost::beast::http::response_header<> head);
     wire::Task<bool> writePiece(std::string piece);
     wire::Task<bool> endStream();
 
-    /// Closes at once; what awaits returns.
+    /// Closes the connection at once. Pending operations return.
     void close();
-    /// Between two requests.
+    /// Returns true while the connection waits for the next request.
     [[nodiscard]] bool idle() const { return m_idle; }
-    /// Waits for a next request no longer; one that has come is still read.
-    void stopWaiting() { m_stream.cancel(); }
+    /// Stops waiting for the next request. A request whose first bytes have arrived is still read.
+    void cancelIdleWait() { m_stream.cancel(); }
 
 private:
-    /// Reads the first bytes of the next request; false if none come.
+    /// Reads the first bytes of the next request; returns false if none arrive.
     wire::Task<bool> awaitBytes(std::chrono::milliseconds timeout);
     void armWatch();
     void onReadable();
-    void watchLater();
+    void scheduleWatch();
 
     boost::beast::tcp_stream m_stream;
     boost::beast::flat_buffer m_buffer;
     Request m_request;
-    std::function<void()> m_left;
+    std::function<void()> m_onDisconnect;
     boost::asio::steady_timer m_watchTimer;
     bool m_watchArmed = false;
     bool m_idle = false;
--- a/include/snipestall/gateway/caller_listener.hpp
+++ b/include/snipestall/gateway/caller_listener.hpp
@@ -11,11 +11,11 @@
 
 namespace snipestall::gateway {
 
-class CallerLink;
+class CallerConnection;
 class RequestRelay;
 struct GatewayState;
 
-/// Accepts callers and serves their requests one after the other.
+/// Accepts connections of callers and serves the requests of each connection one after the other.
 class CallerListener
 {
 public:
@@ -25,22 +25,23 @@
     void start();
     /// Closes connections that carry no request.
     void closeIdle();
-    /// Requests that still run get their last answer.
-    void giveUp();
-    /// Logs the requests whose answer the end of the process cuts off.
+    /// Cancels the running requests. Each caller gets the answer that can be given at that moment.
+    void cancelRequests();
+    /// Logs the requests that get no complete answer because the process ends.
     void logUnanswered() const;
-    [[nodiscard]] std::size_t connections() const { return m_links.size(); }
+    [[nodiscard]] std::size_t connections() const { return m_connections.size(); }
 
 private:
     CallerListener(GatewayState &state, boost::asio::ip::tcp::acceptor acceptor);
     wire::Task<void> accept();
-    wire::Task<void> serve(std::shared_ptr<CallerLink> link);
-    wire::Task<void> serveRequests(CallerLink &link, std::shared_ptr<CallerLink> shared);
+    wire::Task<void> serve(std::shared_ptr<CallerConnection> connection);
+    wire::Task<void> serveRequests(CallerConnection &connection,
+                                   std::shared_ptr<CallerConnection> shared);
 
     GatewayState &m_state;
     boost::asio::ip::tcp::acceptor m_acceptor;
-    /// The request that each connection carries, null between two.
-    std::map<std::shared_ptr<CallerLink>, RequestRelay *> m_links;
+    /// The request that each connection carries; null between two requests.
+    std::map<std::shared_ptr<CallerConnection>, RequestRelay *> m_connections;
 };
 
 } // namespace snipestall::gateway
--- a/include/snipestall/gateway/true_time.hpp
+++ b/include/snipestall/gateway/common_time.hpp
@@ -7,32 +7,32 @@
 
 namespace snipestall::gateway {
 
-/// The time of day that all instances agree on: the store's steady clock plus one offset that is
+/// The time of day that all instances share: the steady clock of the store plus one offset that is
 /// kept in the store.
 ///
-/// Failure: the time of day of an instance jumps by seconds and back. It shows as usage counted in
-/// the wrong window. The local time of day is therefore read only once, to set the offset when the
-/// system starts for the first time.
-class TrueTime
+/// Failure it guards against: the time of day of an instance jumps by seconds and back, so that
+/// usage is counted in the wrong window. The local time of day is therefore read only once, to set
+/// the offset when the system starts for the first time.
+class CommonTime
 {
 public:
-    /// The store's clock as told in an answer that arrived at `now`.
-    void storeAnswered(std::chrono::milliseconds storeTime, SteadyTime now);
-    /// Time of day at the store's zero.
+    /// Records the clock of the store in an answer that arrived at `now`.
+    void observeStoreClock(std::chrono::milliseconds storeTime, SteadyTime now);
+    /// Sets the time of day at which the clock of the store was zero.
     void setOffset(std::chrono::milliseconds offset) { m_offset = offset; }
     [[nodiscard]] std::optional<std::chrono::milliseconds> offset() const { return m_offset; }
     [[nodiscard]] bool known() const { return m_offset && m_lead; }
     [[nodiscard]] bool storeClockKnown() const { return m_lead.has_value(); }
-    /// Offset that this instance's time of day gives.
+    /// Returns the offset that results from the local time of day.
     [[nodiscard]] std::chrono::milliseconds localOffset(WallTime wall, SteadyTime now) const;
-    /// Only while known.
+    /// Returns the common time of day at `now`. May be called only while it is known.
     [[nodiscard]] WallTime at(SteadyTime now) const;
 
 private:
     [[nodiscard]] std::chrono::milliseconds storeTimeAt(SteadyTime now) const;
 
     std::optional<std::chrono::milliseconds> m_offset;
-    /// Store's clock minus the local steady clock.
+    /// Clock of the store minus the local steady clock.
     std::optional<std::chrono::milliseconds> m_lead;
 };
 
--- a/include/snipestall/gateway/duty_runner.hpp
+++ b/include/snipestall/gateway/duty_runner.hpp
@@ -21,8 +21,8 @@
 
 struct GatewayState;
 
-/// What one instance at a time does for all: it reports usage and orders backend servers. Every
-/// instance takes part in the lease and stores its own counts.
+/// Work that one instance at a time does for all: it reports usage and orders backend servers.
+/// Every instance takes part in the election of the lease holder and stores its own counts.
 class DutyRunner
 {
 public:
@@ -30,11 +30,11 @@
 
     void start();
     [[nodiscard]] bool holdsLease() const;
-    /// Whether this instance is one of the few that compete for the lease.
+    /// Sets whether this instance is one of the few that compete for the lease.
     void setCandidate(bool candidate);
-    /// A peer says that it holds the lease.
-    void holderHeard();
-    /// Stores what was counted and gives the lease up.
+    /// Records that a peer has reported that it holds the lease.
+    void holderReported();
+    /// Stores the counts of this instance and releases the lease.
     wire::Task<void> leave();
 
 private:
@@ -44,20 +44,20 @@
 
     wire::Task<void> readLease();
     wire::Task<void> writeLease(serving::LeaseWrite write);
-    wire::Task<void> agreeOnTime();
+    wire::Task<void> agreeOnTimeOffset();
 
-    /// Stores this instance's counts of every window that has ended.
+    /// Stores the counts of this instance for every window that has ended.
     wire::Task<void> storeCounts();
     wire::Task<bool> storeCountsOf(std::int64_t window);
-    /// As a hub: stores what is known of the windows that have ended, for the members.
+    /// On a hub: stores, for its members, the counts of the windows that have ended.
     wire::Task<void> storeMembersCounts();
     wire::Task<bool> storeMembersCountsOf(std::int64_t window);
-    /// How long ago a window ended, in true time.
+    /// Time since the end of a window, by the common time of day.
     [[nodiscard]] std::chrono::milliseconds sinceEndOf(std::int64_t window) const;
     /// Reports the windows that are due, oldest first.
     wire::Task<void> reportDue();
     wire::Task<bool> report(std::int64_t window);
-    /// The counts to be reported: once fixed in the store they never change.
+    /// Returns the counts to be reported. Once they are stored they never change.
     wire::Task<std::optional<serving::UsageCounts>> fixedCounts(std::int64_t window);
     wire::Task<std::optional<serving::UsageCounts>> sumOfCounts(std::int64_t window);
     wire::Task<void> removeCounts(std::int64_t window);
@@ -72,13 +72,13 @@
     platform::StoreClient &m_store;
     platform::DutyClient m_duties;
     serving::DutyLease m_lease;
-    bool m_held = false;
+    bool m_wasHolder = false;
     bool m_candidate = true;
     SteadyTime m_startedAt;
-    /// Windows whose own counts are stored.
+    /// Last window for which the counts of this instance are stored.
     std::int64_t m_storedUpTo = 0;
     std::int64_t m_membersStoredUpTo = 0;
-    /// Windows reported by this instance while it holds the lease.
+    /// Last window that this instance has reported while it holds the lease.
     std::int64_t m_reportedUpTo = 0;
     std::map<std::string, serving::FleetPlanner> m_planners;
     std::int64_t m_plannersFence = 0;
--- a/include/snipestall/gateway/exchange_transport.hpp
+++ b/include/snipestall/gateway/exchange_transport.hpp
@@ -15,12 +15,13 @@
 
 namespace snipestall::gateway {
 
-/// Answers peers' reports. gRPC's threads only carry bytes; the handler runs on the I/O loop.
+/// Receives the reports of peers and answers them. The threads of gRPC only transfer bytes; the
+/// handler runs on the I/O loop.
 class ExchangeServer
 {
 public:
-    /// Takes a peer's report. The second is to be filled in as the answer; null if the peer does
-    /// not wait for it any more.
+    /// Handles a report of a peer. The second argument is the reply to be filled in; it is null if
+    /// the peer no longer waits for it.
     using Handler =
         std::function<void(const exchange::v1::LoadReport &, exchange::v1::LoadReport *)>;
 
@@ -35,14 +36,15 @@
     std::unique_ptr<State> m_state;
 };
 
-/// One peer to send reports to.
+/// Connection for sending reports to one peer.
 class ExchangeChannel
 {
 public:
     ExchangeChannel(boost::asio::io_context &io, const std::string &address);
     ~ExchangeChannel();
 
-    /// Calls back on the I/O loop with the peer's report, or null if it did not answer in time.
+    /// Sends a report. Calls `done` on the I/O loop with the report of the peer, or with null if
+    /// the peer did not answer within `timeout`.
     void send(const exchange::v1::LoadReport &report, std::chrono::milliseconds timeout,
               std::function<void(const exchange::v1::LoadReport *)> done);
 
--- a/include/snipestall/gateway/gateway.hpp
+++ b/include/snipestall/gateway/gateway.hpp
@@ -9,19 +9,20 @@
 
 namespace snipestall::gateway {
 
-/// One gateway process: callers on one side, backend servers on the other.
+/// One gateway process. It accepts requests of callers and sends them to backend servers.
 class Gateway
 {
 public:
-    /// Opens all listeners; Unavailable names the one that could not be opened.
+    /// Opens all listeners. The error Unavailable names the listener that could not be opened.
     static Result<std::unique_ptr<Gateway>> create(boost::asio::io_context &io,
                                                    GatewaySettings settings);
     ~Gateway();
 
     void start();
-    /// Graceful shutdown: says that it is not ready, finishes what runs and stops the loop.
+    /// Shuts down gracefully: reports that it is not ready, finishes the running requests and stops
+    /// the loop.
     void drain();
-    /// The settings file has changed; only a fault in it is reported, nothing needs a restart.
+    /// Takes over the bounds of changed settings. No restart is needed.
     void settingsChanged(const GatewaySettings &settings);
 
 private:
--- a/include/snipestall/gateway/gateway_counters.hpp
+++ b/include/snipestall/gateway/gateway_counters.hpp
@@ -9,7 +9,7 @@
 {
     std::uint64_t requests = 0;
     std::uint64_t answered = 0;
-    /// Refused as not run.
+    /// Requests that were refused without being run.
     std::uint64_t refused = 0;
     std::uint64_t failed = 0;
     std::uint64_t callersGone = 0;
--- a/include/snipestall/gateway/gateway_metrics.hpp
+++ b/include/snipestall/gateway/gateway_metrics.hpp
@@ -8,21 +8,22 @@
 
 struct GatewayState;
 
-/// What the gateway shows on its metrics address, in the Prometheus text format.
+/// Metrics that the gateway serves on its metrics address in the Prometheus text format.
 class GatewayMetrics
 {
 public:
     GatewayMetrics();
     ~GatewayMetrics();
 
-    /// A request's first byte reached the caller this long after the request had come.
-    void firstByte(const std::string &service, std::chrono::nanoseconds waited);
-    /// A request has its final answer. `status` 0: the caller left or the answer was broken off.
-    void ended(unsigned status, std::chrono::nanoseconds took);
-    /// The loop came to its events this late.
-    void loopLate(std::chrono::nanoseconds delay);
-    /// All metrics, with the totals and levels of this moment.
-    [[nodiscard]] std::string page(const GatewayState &state);
+    /// Records the time from the arrival of a request to the first byte of its answer to the
+    /// caller.
+    void recordFirstByte(const std::string &service, std::chrono::nanoseconds waited);
+    /// Records the end of a request. `status` is 0 if the caller left or the answer was cut off.
+    void recordRequestEnd(unsigned status, std::chrono::nanoseconds took);
+    /// Records by how much the I/O loop was late.
+    void recordLoopDelay(std::chrono::nanoseconds delay);
+    /// Returns all metrics as text, with the current totals and gauges.
+    [[nodiscard]] std::string render(const GatewayState &state);
 
 private:
     struct Families;
--- a/include/snipestall/gateway/gateway_settings.hpp
+++ b/include/snipestall/gateway/gateway_settings.hpp
@@ -11,20 +11,22 @@
 
 namespace snipestall::gateway {
 
-/// Figures that the operators promise for the whole deployment.
+/// Limits that the operators guarantee for the whole deployment.
 struct Bounds
 {
-    /// A backend server gets nothing new this long after its leaving was listed.
+    /// Time after the leaving of a backend server is listed, after which it gets no new requests.
     std::chrono::milliseconds drain { 2000 };
-    /// From a stop signal until the process is ended.
+    /// Time from the stop signal to the end of the process.
     std::chrono::milliseconds grace { 8000 };
-    /// How long an instance must have been undisturbed for its promises to count.
+    /// Time for which an instance must have been undisturbed before its guarantees apply.
     std::chrono::milliseconds contact { 3000 };
-    /// Repeats that a service may get: a part of its first attempts and a fixed number besides.
+    /// Repeats that a service may get within `retryWindow`: a share (`retryRatio`) of its first
+    /// attempts, plus a fixed number (`retrySlack`).
     double retryRatio = 0.2;
     std::chrono::milliseconds retryWindow { 10000 };
     double retrySlack = 0;
-    /// How far a quota may be exceeded in any window: a part of it, and a number of units.
+    /// How far a quota may be exceeded in any `quotaWindow`: a share of it (`quotaOverrun`), plus a
+    /// number of units (`quotaTolerance`).
     std::chrono::milliseconds quotaWindow { 0 };
     double quotaOverrun = 0;
     double quotaTolerance = 0;
@@ -39,7 +41,7 @@
     std::string dataCentre;
     /// True only when the whole system starts for the first time.
     bool firstStart = false;
-    /// IP number of this instance.
+    /// IP address of this instance.
     std::string address;
     wire::Endpoint callers;
     wire::Endpoint readiness;
@@ -47,19 +49,20 @@
     std::uint16_t metricsPort = 0;
     wire::Endpoint store;
     wire::Endpoint duties;
-    /// How often backend servers renew their entries.
+    /// Interval at which backend servers renew their entries in the store.
     std::chrono::milliseconds serverHeartbeat { 1200 };
     std::size_t fileDescriptors = 1024;
-    /// Processor time of this instance, in thousandths of a core; 0 if it is not known. Instances
-    /// with more of it do more for the fleet.
+    /// Processor time of this instance in thousandths of a core; 0 if it is not known. Instances
+    /// with more processor time do more work for the fleet.
     std::uint32_t milliCores = 0;
-    /// For how long callers that reach a process before it has read the store are kept instead of
-    /// being sent away for longer. The store is read within some 20 ms of the start; a caller with
-    /// little time left gives a connection up later than this.
+    /// Longest time for which a request that arrives before the process has read the store waits,
+    /// instead of being refused with a longer retry time. The store is read within about 20 ms of
+    /// the start. A caller with little time left waits longer than this before it gives up a
+    /// connection.
     std::chrono::milliseconds startWait { 150 };
     Bounds bounds;
 
-    /// Reads the YAML text. InvalidArgument lists every field that is missing or faulty.
+    /// Reads the YAML text. The error InvalidArgument lists every field that is missing or invalid.
     static Result<GatewaySettings> parse(std::string_view yaml);
 };
 
--- a/include/snipestall/gateway/gateway_state.hpp
+++ b/include/snipestall/gateway/gateway_state.hpp
@@ -5,12 +5,12 @@
 #include "snipestall/gateway/attempt_watch.hpp"
 #include "snipestall/gateway/backend_pool.hpp"
 #include "snipestall/gateway/boot_clock.hpp"
+#include "snipestall/gateway/common_time.hpp"
 #include "snipestall/gateway/gateway_counters.hpp"
 #include "snipestall/gateway/gateway_metrics.hpp"
 #include "snipestall/gateway/gateway_settings.hpp"
 #include "snipestall/gateway/loop_work.hpp"
 #include "snipestall/gateway/stream_watch.hpp"
-#include "snipestall/gateway/true_time.hpp"
 #include "snipestall/serving/catalogue.hpp"
 #include "snipestall/serving/crash_watch.hpp"
 #include "snipestall/serving/demand_meter.hpp"
@@ -34,7 +34,7 @@
 
 namespace snipestall::gateway {
 
-/// What the parts of one gateway process share. All of it belongs to the I/O loop's thread.
+/// State that the parts of one gateway process share. Only the thread of the I/O loop accesses it.
 struct GatewayState
 {
     GatewayState(boost::asio::io_context &loop, GatewaySettings given, std::uint64_t seed);
@@ -43,10 +43,10 @@
     GatewaySettings settings;
     BootClock clock;
     Random random;
-    /// New at each start of the process.
+    /// Random number that is new at each start of the process.
     std::uint64_t incarnation;
 
-    /// Name of this process: new at each start.
+    /// Name of this process, which is new at each start.
     [[nodiscard]] std::string processName() const
     {
         return settings.instance + "/" + std::to_string(incarnation);
@@ -65,7 +65,7 @@
     serving::UsageLedger usageLedger;
     serving::MemberUsage memberUsage;
     serving::CrashWatch crashes;
-    TrueTime trueTime;
+    CommonTime commonTime;
     BackendPool backends;
     platform::MemoryClient memory;
     GatewayCounters counters;
@@ -73,23 +73,24 @@
     serving::LoopLag loopLag;
     LoopWork loopWork;
 
-    /// The list of backend servers has been read at least once.
-    bool listKnown = false;
-    /// The list of instances has been read at least once.
+    /// Whether the list of backend servers has been read at least once.
+    bool serverListKnown = false;
+    /// Whether the list of instances has been read at least once.
     bool instancesKnown = false;
-    /// Whether all is known that a request needs; a process that has just started does not.
-    [[nodiscard]] bool canServe() const { return catalogue && listKnown && instancesKnown; }
-    /// When a backend server was last listed for the first time.
-    SteadyTime listGrewAt;
+    /// Returns whether everything is known that a request needs. It is not in a process that has
+    /// just started.
+    [[nodiscard]] bool canServe() const { return catalogue && serverListKnown && instancesKnown; }
+    /// Time at which a new backend server was last listed.
+    SteadyTime serverAddedAt;
     std::int64_t listVersion = 0;
-    /// Attempts that wait for the first byte of their answer and may be repeated elsewhere.
+    /// Attempts that wait for the first byte of their answer and may be repeated at another server.
     AttemptWatch attempts;
     /// Running streams that can't be run again.
     StreamWatch streams;
     /// Set once a graceful shutdown has begun.
     std::optional<serving::ShutdownPlan> shutdown;
     [[nodiscard]] bool draining() const { return shutdown.has_value(); }
-    /// Asked for each request when it is admitted.
+    /// Returns whether new requests are accepted. It is called for each request at its admission.
     [[nodiscard]] bool takesWork() const
     {
         return !shutdown || shutdown->takesWork(clock.steadyNow());
--- a/include/snipestall/gateway/load_exchange.hpp
+++ b/include/snipestall/gateway/load_exchange.hpp
@@ -24,23 +24,23 @@
 class TableCopy;
 struct GatewayState;
 
-/// Tells the other instances several times a second what this one has at each backend server and
-/// has taken from each quota, and takes in what they say; serving::PeerCalls says who talks to
-/// whom.
+/// Exchanges reports with other instances several times a second: the load that this instance has
+/// at each backend server and the units it has taken from each quota, and the same of the others.
+/// serving::PeerCalls determines which instances call each other.
 ///
-/// Each pair needs one call per interval: it carries both sides' reports, and whoever comes first
-/// makes it. Instances find each other by a table in the store, which is read rarely:
-/// a new instance calls all others itself.
+/// Each pair needs one call per interval: the call carries the reports of both sides, and whichever
+/// instance is due first makes it. Instances find each other through a table in the store, which is
+/// read rarely: a new instance calls all others itself.
 class LoadExchange
 {
 public:
-    /// `holdsLease` tells whether this instance acts on behalf of all; `holderHeard` is called
-    /// when a peer says that it does; `setCandidate` is told whether this instance is one of the
-    /// few that are to compete for that.
+    /// `holdsLease` returns whether this instance holds the lease and so acts on behalf of all.
+    /// `holderReported` is called when a peer reports that it holds the lease. `setCandidate` is
+    /// called with whether this instance is one of the few that compete for the lease.
     struct Hooks
     {
         std::function<bool()> holdsLease;
-        std::function<void()> holderHeard;
+        std::function<void()> holderReported;
         std::function<void(bool)> setCandidate;
     };
 
@@ -49,9 +49,10 @@
     ~LoadExchange();
 
     void start();
-    /// Tells the store that this instance is gone.
+    /// Removes the entry of this instance from the store.
     wire::Task<void> leave();
-    /// Instances heard of lately, this one included.
+    /// Number of instances that have reported recently, directly or through another one; this one
+    /// included.
     [[nodiscard]] std::size_t instances() const;
 
 private:
@@ -59,13 +60,13 @@
     {
         std::string address;
         std::string process;
-        SteadyTime heard;
-        /// How far its copies of the tables go.
+        SteadyTime lastReportAt;
+        /// Version of each of its copies of tables.
         std::map<std::string, std::int64_t> versions;
-        /// Since when each of them may have lacked something at its last report.
+        /// Age of each copy at the last report: the time since which it may lack changes.
         std::map<std::string, std::chrono::milliseconds> ages;
         std::string dataCentre;
-        /// Was heard directly, and has not been for a while.
+        /// Set while the peer has not reported to this instance recently.
         bool silent = true;
         std::shared_ptr<ExchangeChannel> channel;
     };
@@ -77,28 +78,31 @@
     wire::Task<bool> registerSelf();
     wire::Task<bool> readInstances();
     void callPeers();
-    /// Tells the others of this process what the overlay makes of this instance.
-    void takeRole();
+    /// Applies the role that the overlay gives to this instance: reader of the store, candidate for
+    /// the lease.
+    void applyRole();
     void call(const std::string &name, Peer &peer);
-    void noteUnanswered(const std::string &peer);
-    void setAddress(const std::string &name, const std::string &address,
-                    const serving::OverlayPeer &place);
+    void handleUnanswered(const std::string &peer);
+    void updatePeer(const std::string &name, const std::string &address,
+                    const serving::OverlayPeer &overlayPeer);
     [[nodiscard]] exchange::v1::LoadReport ownReport() const;
-    /// The report for one receiver, with the changes that its copies lack.
+    /// The report for one receiver, with the changes that its copies of tables lack.
     [[nodiscard]] exchange::v1::LoadReport reportFor(const std::string &receiver,
                                                      bool asMember) const;
-    /// Whether a peer's copy of a table is kept up to date in the peer's own data centre.
-    [[nodiscard]] bool followsItself(const Peer &peer, const std::string &table) const;
+    /// Returns whether the copy of a table at a peer is kept up to date in the peer's own data
+    /// centre.
+    [[nodiscard]] bool hasLocalReader(const Peer &peer, const std::string &table) const;
     void addTable(const TableCopy &copy, const Peer *receiver,
                   exchange::v1::LoadReport &report) const;
-    void takeTables(const exchange::v1::LoadReport &report, Peer &peer);
-    void takeUsage(const exchange::v1::LoadReport &report);
-    void take(const exchange::v1::LoadReport &report);
-    /// Takes a peer's report and fills in the reply, if the peer still waits for one.
+    void applyTables(const exchange::v1::LoadReport &report, Peer &peer);
+    void applyUsage(const exchange::v1::LoadReport &report);
+    void processReport(const exchange::v1::LoadReport &report);
+    /// Processes a report of a peer and fills in the reply if the peer still waits for one.
     void handleReport(const exchange::v1::LoadReport &report, exchange::v1::LoadReport *reply);
-    /// What the sender, and those it speaks for, have at servers and have taken.
-    void takeSums(const exchange::v1::LoadReport &report, SteadyTime now);
-    void forgetSums(const std::string &peer);
+    /// Takes over the loads and quota totals of the sender and of the instances whose reports it
+    /// sums.
+    void applyTotals(const exchange::v1::LoadReport &report, SteadyTime now);
+    void forgetTotals(const std::string &peer);
     void markSilent();
     [[nodiscard]] std::string ownAddress() const;
 
@@ -109,10 +113,11 @@
     std::unique_ptr<ExchangeServer> m_server;
     std::map<std::string, Peer> m_peers;
     serving::PeerCalls m_calls;
-    /// The hub that told this instance of the fleet last.
+    /// The hub whose report on the whole fleet arrived last.
     std::string m_hub;
     ReportBook m_book;
-    /// The table has been read after the instances that start together had registered themselves.
+    /// Whether the table of instances has been read after the instances that start together had
+    /// registered themselves.
     bool m_listSettled = false;
 };
 
--- a/include/snipestall/gateway/loop_watch.hpp
+++ b/include/snipestall/gateway/loop_watch.hpp
@@ -7,7 +7,7 @@
 
 struct GatewayState;
 
-/// Keeps `GatewayState::loopLag` up to date and reports when the loop runs late.
+/// Keeps `GatewayState::loopLag` up to date and logs when the I/O loop runs late.
 class LoopWatch
 {
 public:
--- a/include/snipestall/gateway/loop_work.hpp
+++ b/include/snipestall/gateway/loop_work.hpp
@@ -5,11 +5,11 @@
 
 namespace snipestall::gateway {
 
-/// What the loop has handled since it was last reported.
+/// Work that the I/O loop has done since it was last reported.
 struct LoopWork
 {
     std::size_t requestsRead = 0;
-    /// Peers' reports taken, and the time that taking and answering them took.
+    /// Reports of peers that were processed, and the time that processing and answering them took.
     std::size_t reports = 0;
     std::chrono::steady_clock::duration reportTime { 0 };
     /// Changed rows of the store's tables.
--- a/include/snipestall/gateway/report_book.hpp
+++ b/include/snipestall/gateway/report_book.hpp
@@ -13,68 +13,72 @@
 
 namespace snipestall::gateway {
 
-/// What other instances have reported, and what each of them is to be told.
+/// Keeps the latest reports of other instances and builds the reports for them.
 ///
-/// A hub is told about the sender and the members that report to it; a member about everybody else.
-/// Totals that only grow stay so when they are summed: each source's growth is kept apart, from
-/// when it was first heard.
+/// A report for a hub covers the sender and the members that report to it; a report for a member
+/// covers all instances but the member itself. Totals that only grow must keep growing when they
+/// are summed, so the growth of each source since its first report is tracked separately.
 class ReportBook
 {
 public:
-    void take(const exchange::v1::LoadReport &report, SteadyTime now);
-    /// `own`: this instance alone. `asMember`: this instance reports to the receiver as its hub.
+    void addReport(const exchange::v1::LoadReport &report, SteadyTime now);
+    /// Builds the report for `receiver`. `own` is the report on this instance alone. `asMember` is
+    /// true if this instance reports to the receiver as its hub.
     [[nodiscard]] exchange::v1::LoadReport reportFor(const std::string &receiver,
                                                      const exchange::v1::LoadReport &own,
                                                      bool asMember, SteadyTime now) const;
-    /// Whether what this instance has just been told by a peer is also told by its hub, which
-    /// speaks for the whole fleet: another instance, which sees other peers as failed, has taken
-    /// this one for a hub.
-    [[nodiscard]] bool isCovered(const exchange::v1::LoadReport &report, SteadyTime now) const;
-    /// Instances that speak through the sources heard lately, this one included.
+    /// Returns whether the content of a report that a peer has just sent is also part of the
+    /// reports of the hub of this instance, which cover the whole fleet. That happens when another
+    /// instance, to which other peers seem to have failed, takes this one for a hub.
+    [[nodiscard]] bool isCoveredByHub(const exchange::v1::LoadReport &report, SteadyTime now) const;
+    /// Number of instances covered by the sources that have reported recently, this one included.
     [[nodiscard]] std::size_t instances(SteadyTime now) const;
-    /// What a report says of the customers' quotas.
+    /// Returns the quota totals of the customers in a report.
     [[nodiscard]] static serving::QuotaUse quotaUse(const exchange::v1::LoadReport &report);
-    /// Whether another instance has lately reported to this one as to its hub.
+    /// Returns whether another instance has recently reported to this one as its hub.
     [[nodiscard]] bool hasMembers(SteadyTime now) const;
 
 private:
-    /// A source silent for longer has stopped, or is cut off: what it had at servers has ended.
+    /// A source that has not reported for longer has stopped or is cut off, so its requests at
+    /// servers have ended.
     static constexpr std::chrono::milliseconds LoadsKeptFor { 2500 };
     static constexpr std::chrono::milliseconds CountedFor { 12000 };
-    /// Several intervals: a source silent for longer may be behind a network partition.
-    static constexpr std::chrono::milliseconds HeardWithin { 1500 };
-    static constexpr std::chrono::milliseconds LeaseHeardWithin { 800 };
-    /// Two intervals: a source that is silent for longer has missed a report.
-    static constexpr std::chrono::milliseconds ReportsWithin { 400 };
-    /// Over which time the growth of a total is averaged.
-    static constexpr std::chrono::milliseconds GrownOver { 500 };
+    /// Several intervals. A source that has not reported for longer may be behind a network
+    /// partition.
+    static constexpr std::chrono::milliseconds ReachableWithin { 1500 };
+    static constexpr std::chrono::milliseconds LeaseReportedWithin { 800 };
+    /// Two intervals. A source that has not reported for longer has missed a report.
+    static constexpr std::chrono::milliseconds OnTimeWithin { 400 };
+    /// Time over which the growth of a total is averaged.
+    static constexpr std::chrono::milliseconds GrowthAveragedOver { 500 };
 
     using Totals = std::map<std::string, double>;
-    /// Totals of one source and what they have grown by since it was first heard.
+    /// Totals of one source and their growth since its first report.
     struct Series
     {
-        Totals seen;
-        Totals grown;
+        Totals lastTotals;
+        Totals totalGrowth;
         std::map<std::string, serving::DecayingRate> rates;
 
-        /// Adds the growth to each of `sums`, too.
-        void take(const Totals &totals, bool first, SteadyTime now,
-                  const std::vector<Totals *> &sums);
-        /// Growth a second of one total, as it was at `heard`.
-        [[nodiscard]] double rateAt(const std::string &name, SteadyTime heard) const;
+        /// Updates the totals, and adds their growth to each of `sums`.
+        void update(const Totals &totals, bool first, SteadyTime now,
+                    const std::vector<Totals *> &sums);
+        /// Growth per second of one total at the time `lastReportAt`.
+        [[nodiscard]] double rateAt(const std::string &name, SteadyTime lastReportAt) const;
     };
-    /// What silent sources are taken to use and to be asked for.
-    struct Unheard
+    /// Estimated use of sources that have missed a report, in units, and the units per second that
+    /// they are asked for.
+    struct LateUse
     {
         Totals use;
         Totals asked;
     };
     struct Source
     {
-        SteadyTime heard;
+        SteadyTime lastReportAt;
         std::uint64_t series = 0;
         bool member = false;
-        /// Whether the sums hold what it has at servers.
+        /// Whether the sums include the load that the source has at servers.
         bool loadsCounted = false;
         exchange::v1::LoadReport report;
         Series use;
@@ -90,8 +94,8 @@
 
         bool operator==(const ServerSum &other) const = default;
     };
-    /// Sums of several sources, kept up to date with each report: a hub is asked for them a hundred
-    /// times a second, for hundreds of servers.
+    /// Sums over several sources, updated with each report, because a hub needs them a hundred
+    /// times a second for hundreds of servers.
     struct SourceSums
     {
         Totals use;
@@ -100,27 +104,30 @@
         std::map<std::string, ServerSum> servers;
     };
 
-    /// The sums of which a source is part.
+    /// Returns the sums that include a source.
     std::vector<SourceSums *> sumsOf(const Source &source);
     static void subtractGrowth(const Source &source, SourceSums &sums);
     static void addServers(const exchange::v1::LoadReport &report, int factor, SourceSums &sums);
     void subtractServers(Source &source);
-    /// What silent sources had at servers has ended.
-    void dropSilentLoads(SteadyTime now);
-    /// Each hub of this instance speaks for the whole fleet: only the last one counts.
+    /// Subtracts the loads of sources that have not reported for `LoadsKeptFor`: their requests at
+    /// servers have ended.
+    void dropExpiredLoads(SteadyTime now);
+    /// Removes the reports of all hubs of this instance but `hub`. Each of them covers the whole
+    /// fleet, so only the last hub counts.
     void forgetOtherHubs(const std::string &hub);
-    /// The hub that spoke for the whole fleet lately; null if there is none.
+    /// Returns the hub that has recently reported on the whole fleet; null if there is none.
     [[nodiscard]] const Source *liveHub(SteadyTime now) const;
     static void addSource(const Source &source, SteadyTime now, exchange::v1::LoadReport &report,
-                          Unheard &unheard);
-    /// Counts what a source that misses its reports is taken to use. Without it, members of the hub
-    /// that sums up would give out that part of a quota again until the source counts as silent.
-    static void addUnheard(const Source &source, SteadyTime now, Unheard &unheard);
-    static void write(const SourceSums &sums, const Unheard &unheard,
+                          LateUse &lateUse);
+    /// Adds the estimated use of a source that has missed a report. Otherwise the members of the
+    /// hub that sums up would grant that part of a quota again until the source counts as stopped.
+    static void addLateUse(const Source &source, SteadyTime now, LateUse &lateUse);
+    static void write(const SourceSums &sums, const LateUse &lateUse,
                       exchange::v1::LoadReport &report);
 
     std::map<std::string, Source> m_sources;
-    /// Of all sources but this instance's own hubs, and of those that report to it as to their hub.
+    /// Sums over all sources but the hubs of this instance (`m_all`), and over the sources that
+    /// report to this instance as their hub (`m_members`).
     SourceSums m_all;
     SourceSums m_members;
 };
--- a/include/snipestall/gateway/request_relay.hpp
+++ b/include/snipestall/gateway/request_relay.hpp
@@ -4,7 +4,7 @@
 #include "snipestall/gateway/attempt_watch.hpp"
 #include "snipestall/gateway/backend_call.hpp"
 #include "snipestall/gateway/caller_answer.hpp"
-#include "snipestall/gateway/caller_link.hpp"
+#include "snipestall/gateway/caller_connection.hpp"
 #include "snipestall/gateway/stream_move.hpp"
 #include "snipestall/gateway/stream_watch.hpp"
 #include "snipestall/serving/placement.hpp"
@@ -24,93 +24,94 @@
 
 namespace snipestall::gateway {
 
-class LoadClaim;
+class LoadGuard;
 struct GatewayState;
 
-/// Serves one request of a caller: checks it, sends it to backend servers one after the other as
-/// far as its kind allows, and returns the answer.
+/// Serves one request of a caller: checks it, sends it to one backend server after another as far
+/// as the kind of request allows, and returns the answer.
 class RequestRelay
 {
 public:
-    RequestRelay(GatewayState &state, std::shared_ptr<CallerLink> caller);
+    RequestRelay(GatewayState &state, std::shared_ptr<CallerConnection> caller);
     ~RequestRelay();
 
-    /// Returns whether the caller's connection can carry another request.
+    /// Serves the request. Returns whether the connection of the caller can carry another request.
     wire::Task<bool> run();
-    /// Ends what runs for the request; its caller gets the answer that can be given now.
-    void giveUp();
-    /// For a request that the end of the process leaves without its final answer.
-    void logCut() const;
+    /// Cancels the current attempt. The caller gets the answer that can be given at that moment.
+    void cancel();
+    /// Logs a request that gets no complete answer because the process ends.
+    void logUnanswered() const;
 
 private:
-    /// How one attempt at a backend server ended.
+    /// Result of one attempt at a backend server.
     enum class AttemptEnd {
-        /// The caller has its final answer, or can't get one any more.
+        /// The caller has received its final answer or can no longer receive one.
         Final,
-        /// The server did not run it.
+        /// The server did not run the request.
         NotRun,
-        /// It failed or its outcome is unknown.
+        /// The attempt failed or its outcome is unknown.
         Failed,
-        /// The time that the request has is over.
+        /// The deadline of the request has passed.
         TimedOut,
-        /// Its run has been moved to another server and goes on there.
+        /// The run has been moved to another server, where it continues.
         Moved,
     };
 
-    /// Waits, for a short time at most, until the process knows what it needs to serve.
+    /// Waits, for a short time at most, until the process has the data that it needs to serve
+    /// requests.
     wire::Task<void> awaitStart();
-    /// Refuses what may not be served; true if it goes on.
+    /// Checks the request and refuses it if it may not be served. Returns true if it is admitted.
     wire::Task<bool> admit();
     wire::Task<void> serve();
     wire::Task<AttemptEnd> attempt(serving::Placed placed);
-    wire::Task<AttemptEnd> takeAnswer(const serving::ServerStatePtr &server);
+    wire::Task<AttemptEnd> handleAnswer(const serving::ServerStatePtr &server);
     wire::Task<AttemptEnd> relayWhole(const serving::ServerStatePtr &server);
     wire::Task<AttemptEnd> relayStream(const serving::ServerStatePtr &server);
-    wire::Task<bool> passEvents(std::vector<wire::RawEvent> events);
-    /// How an attempt ends whose answer ended before it was whole.
-    AttemptEnd brokenOff(const BodyRead &piece, const serving::ServerStatePtr &server);
-    void wholeAnswerCame(serving::ServerState &server);
-    /// Reads an answer that can't follow what the caller has.
+    wire::Task<bool> forwardEvents(std::vector<wire::RawEvent> events);
+    /// Handles an answer that ended before it was complete, and returns how its attempt ended.
+    AttemptEnd handleIncompleteAnswer(const BodyRead &piece, const serving::ServerStatePtr &server);
+    void handleWholeAnswer(serving::ServerState &server);
+    /// Reads and drops an answer that can't continue the part that the caller has received.
     wire::Task<AttemptEnd> dropAnswer(serving::ServerState &server);
-    /// Head of the server's answer, as the caller gets it.
+    /// Head of the server's answer as it is passed on to the caller.
     [[nodiscard]] boost::beast::http::response_header<> answerHead();
     wire::Task<void> finishUnserved(AttemptEnd last);
 
     [[nodiscard]] BackendCall::Request serverRequest(const serving::ServerState &server) const;
-    [[nodiscard]] bool mayTryAgain(AttemptEnd last);
-    /// The server's answer broke off: it may have ended of this request.
-    void noteBreak(const serving::ServerStatePtr &server);
-    /// Waits, for a short time at most, until it is known here whether the last server has ended,
-    /// and what copies of the request have ended elsewhere.
-    wire::Task<void> awaitFate();
-    /// Whether the caller still waits, the server still takes work, and the process has time for
-    /// it.
+    [[nodiscard]] bool mayRetry(AttemptEnd last);
+    /// Handles an answer that was cut off. The server may have crashed because of this request.
+    void handleConnectionLoss(const serving::ServerStatePtr &server);
+    /// Waits, for a short time at most, until this instance knows whether the last server has ended
+    /// and which servers copies of the request have ended elsewhere.
+    wire::Task<void> awaitCrashEvidence();
+    /// Returns whether the caller still waits, the server still accepts work, and the process has
+    /// time for the request.
     [[nodiscard]] bool maySend(const serving::ServerState &server);
-    [[nodiscard]] bool timeIsUp() const;
+    [[nodiscard]] bool deadlinePassed() const;
     [[nodiscard]] double quotaUnits() const;
-    [[nodiscard]] CallerLink::Answer ownAnswer(unsigned status) const;
-    [[nodiscard]] CallerLink::Answer refusal(unsigned status,
-                                             std::chrono::milliseconds retryAfter) const;
-    wire::Task<void> answer(CallerLink::Answer answer, const char *reason);
-    void firstByteCame();
-    void noteLatency();
-    void notePromptRead();
+    [[nodiscard]] CallerConnection::Answer ownAnswer(unsigned status) const;
+    [[nodiscard]] CallerConnection::Answer refusal(unsigned status,
+                                                   std::chrono::milliseconds retryAfter) const;
+    wire::Task<void> answer(CallerConnection::Answer answer, const char *reason);
+    void handleFirstByte();
+    void recordLatency();
+    void recordPromptRead();
     void watchForStall(const serving::ServerStatePtr &server);
     void stopStallWatch();
     void watchForReclaim(const serving::ServerStatePtr &server);
     void stopReclaimWatch();
     void beginMove(const serving::ServerStatePtr &source);
-    /// Waits for a move that is under way; true if the run goes on elsewhere.
-    wire::Task<bool> wasMoved();
-    serving::Placed takeMove();
-    void callerLeft();
-    void noteCallerLeft();
-    /// Ends the caller's connection, so that a broken answer doesn't look complete.
-    void breakOff(const char *reason);
+    /// Waits for a move that is in progress; returns true if the run continues at another server.
+    wire::Task<bool> awaitMove();
+    serving::Placed finishMove();
+    void handleCallerLeft();
+    void recordCallerLeft();
+    /// Closes the connection of the caller, so that an incomplete answer does not look complete.
+    void abortAnswer(const char *reason);
     void logEnd(unsigned status, const char *reason) const;
 
     GatewayState &m_state;
-    std::shared_ptr<CallerLink> m_caller;
+    std::shared_ptr<CallerConnection> m_caller;
     CallerAnswer m_answer;
     std::shared_ptr<const serving::Catalogue> m_catalogue;
     platform::CallerHeader m_header;
@@ -118,39 +119,39 @@
     const serving::Customer *m_customer = nullptr;
     serving::Demand m_demand;
     SteadyTime m_received;
-    /// When the request must have its final answer.
-    SteadyTime m_until;
-    /// When the caller stops waiting.
-    SteadyTime m_callerUntil;
+    /// Time by which the request must have its final answer.
+    SteadyTime m_deadline;
+    /// Time at which the caller stops waiting.
+    SteadyTime m_callerDeadline;
     std::shared_ptr<BackendCall> m_call;
-    /// The caller has all events up to this one.
+    /// Id of the last event that the caller has received.
     std::optional<std::uint64_t> m_lastEvent;
-    /// A failure that a server answered, to be passed on if no repeat does better.
-    std::optional<CallerLink::Answer> m_failure;
+    /// Failure that a server returned. It is passed on if no repeat succeeds.
+    std::optional<CallerConnection::Answer> m_failure;
     SteadyTime m_sentAt;
-    /// When the server's first byte of the present attempt came.
+    /// Time of the first byte of the current attempt's answer.
     std::optional<SteadyTime> m_firstByteAt;
-    double m_unread = 0;
+    double m_unreadTokens = 0;
     double m_tokensAhead = 0;
-    std::optional<AttemptWatch::Ticket> m_stallTicket;
-    std::optional<StreamWatch::Ticket> m_streamTicket;
+    std::optional<AttemptWatch::Handle> m_stallHandle;
+    std::optional<StreamWatch::Handle> m_streamHandle;
     std::shared_ptr<StreamMove> m_move;
-    /// Where the memory of the run lies that the next attempt goes on with.
+    /// Location of the memory of the run that the next attempt continues.
     std::string m_memoryFrom;
     std::uint64_t m_fingerprint = 0;
-    /// Key of the server that broke off last.
-    std::string m_brokeAt;
-    /// The last server took no connection.
-    bool m_turnedAway = false;
+    /// Key of the server that last cut off an answer.
+    std::string m_lastLostServer;
+    /// Whether the last server refused or reset the connection.
+    bool m_connectionRejected = false;
     int m_runs = 0;
     int m_sends = 0;
-    /// Set while an attempt runs.
-    LoadClaim *m_load = nullptr;
+    /// Set while an attempt waits for its first byte.
+    LoadGuard *m_loadGuard = nullptr;
     bool m_maybeRan = false;
-    bool m_counted = false;
+    bool m_usageCounted = false;
     bool m_callerGone = false;
-    /// The process ends before this request could.
-    bool m_givenUp = false;
+    /// Whether the request was cancelled because the process ends before it.
+    bool m_cancelled = false;
     bool m_keepAlive = true;
 };
 
--- /dev/null
+++ b/include/snipestall/gateway/server_probe.hpp
@@ -0,0 +1,15 @@
+#pragma once
+
+#include "snipestall/serving/server_table.hpp"
+#include "snipestall/wire/task.hpp"
+
+namespace snipestall::gateway {
+
+struct GatewayState;
+
+/// Determines whether a server that cut off an answer has ended, and reports the result to the
+/// crash watch. Opens at most two connections and sends nothing on them. It is to be run once for
+/// each server and cut-off answer.
+wire::Task<void> probeServerEnd(GatewayState &state, serving::ServerStatePtr server);
+
+} // namespace snipestall::gateway
--- a/include/snipestall/gateway/store_follower.hpp
+++ b/include/snipestall/gateway/store_follower.hpp
@@ -25,45 +25,47 @@
 
 /// Keeps the operator's configuration and the list of backend servers up to date from the store.
 ///
-/// Failures it guards against: the store is away (what is known stays in force); entries of
-/// servers that live lapse while it is away (they are kept until the servers have had time to list
-/// themselves again); its history is dropped (the table is read anew); a configuration older than
-/// the one in force (ignored).
+/// Failures it guards against: the store is unavailable (the last known data stays in force);
+/// entries of running servers lapse while it is unavailable (they are kept until the servers have
+/// had time to list themselves again); the store drops its history (the table is read again in
+/// full); a configuration is older than the one in force (it is ignored).
 class StoreFollower
 {
 public:
     StoreFollower(GatewayState &state, platform::StoreClient &store);
 
-    /// Follows until the loop ends. `changed` is called after each new configuration.
+    /// Starts following the tables until the loop ends. `changed` is called after each new
+    /// configuration and after each full read of the list.
     void start(std::function<void()> changed);
-    /// Whether this instance reads the store for others; it also does when nobody else can say
-    /// that its copy is complete.
+    /// Sets whether this instance reads the store for others. It also reads the store when no other
+    /// instance can confirm that its copy is complete.
     void setReader(bool reader) { m_reader = reader; }
-    /// The copies of the tables that are followed.
+    /// Copies of the tables that are followed.
     [[nodiscard]] const TableCopy &config() const { return m_config.copy; }
     [[nodiscard]] const TableCopy &list() const { return m_list.copy; }
-    /// What a peer said of its copy of a table, and the changes it passed on.
-    void peerCopy(const TableChanges &changes, const std::string &table,
-                  std::chrono::milliseconds age);
-    /// Takes as gone the servers whose entries lapsed and were not listed again, and takes back
-    /// those that have proved that they live. To be called several times a second.
-    void settleServers();
+    /// Applies the changes of a table that a peer has passed on, and the age of its copy.
+    void applyPeerChanges(const TableChanges &changes, const std::string &table,
+                          std::chrono::milliseconds age);
+    /// Removes the servers whose entries lapsed and were not listed again, and readmits those that
+    /// have proved to be running. The caller calls it several times a second.
+    void updateLapsedServers();
 
 private:
-    /// One table and what its rows mean.
+    /// One table that is followed, and the functions that apply its rows.
     struct Feed
     {
         TableCopy copy;
-        /// Returns, as removed, the rows that were known and are not among these.
+        /// Applies a whole table. Returns, marked as removed, the rows that were known and are not
+        /// in it.
         std::vector<platform::StoredRow> (StoreFollower::*snapshot)(
             const platform::StoredRows &rows);
         void (StoreFollower::*change)(const platform::StoredRow &row);
-        bool read = false;
-        bool away = false;
+        bool loaded = false;
+        bool storeUnavailable = false;
     };
 
     wire::Task<void> follow(Feed &feed);
-    wire::Task<bool> step(Feed &feed);
+    wire::Task<bool> pollOnce(Feed &feed);
     void answered(Feed &feed, std::chrono::milliseconds storeTime);
     void failed(Feed &feed, const Error &error);
     std::vector<platform::StoredRow> configSnapshot(const platform::StoredRows &rows);
@@ -71,11 +73,12 @@
     std::vector<platform::StoredRow> listSnapshot(const platform::StoredRows &rows);
     void listChange(const platform::StoredRow &row);
     [[nodiscard]] Result<serving::BackendServer> readEntry(const platform::StoredRow &row) const;
-    /// Logs a row that can't be read; once for each key, since it may be written again and again.
+    /// Logs a row that can't be read. Each key is logged once, because the row may be written again
+    /// and again.
     void logFault(const platform::StoredRow &row, const Error &error);
     static void logSkipped(const Feed &feed, const platform::StoredRows &rows);
-    void serverGone(const std::string &id);
-    /// Drops what is kept elsewhere of an incarnation that has ended.
+    void handleRemoval(const std::string &id);
+    /// Drops the placement data and the connections of an incarnation that has ended.
     void forget(const serving::ServerState &server, const char *reason);
     [[nodiscard]] bool mustPoll(const Feed &feed) const;
     [[nodiscard]] std::chrono::milliseconds pollWait() const;
--- a/include/snipestall/gateway/stream_move.hpp
+++ b/include/snipestall/gateway/stream_move.hpp
@@ -7,7 +7,7 @@
 
 namespace snipestall::gateway {
 
-/// Moving one running stream to another server, from when it is asked for.
+/// Move of one running stream to another server, from its request on.
 struct StreamMove
 {
     serving::ServerStatePtr target;
--- a/include/snipestall/gateway/stream_watch.hpp
+++ b/include/snipestall/gateway/stream_watch.hpp
@@ -8,21 +8,22 @@
 
 namespace snipestall::gateway {
 
-/// A running stream and how to have it moved.
+/// A running stream and the function that starts its move.
 struct WatchedStream
 {
     serving::ServerStatePtr server;
-    /// Called once, when it is time.
+    /// Starts the move. It is called once.
     std::function<void()> moveAway;
     /// Whether `moveAway` has been called.
-    bool asked = false;
+    bool moveStarted = false;
 };
 
-/// Running streams that nobody may run again; has those moved away whose server is taken back.
+/// Running streams that may not be run again. Starts the move of those whose server is about to be
+/// reclaimed.
 class StreamWatch : public WatchList<WatchedStream>
 {
 public:
-    /// To be called several times a second.
+    /// Starts the moves that are due at `now`. The caller calls it several times a second.
     void check(SteadyTime now);
 };
 
--- a/include/snipestall/gateway/table_copy.hpp
+++ b/include/snipestall/gateway/table_copy.hpp
@@ -20,11 +20,13 @@
     std::vector<platform::StoredRow> rows;
 };
 
-/// How far this instance's copy of a table of the store goes, and the changes that it can pass on.
+/// Version and age of this instance's copy of a table of the store, and the changes that it can
+/// pass on.
 ///
-/// Load: every change and every poll costs a call for each instance that reads the store. Few
-/// instances read it; the others get the changes from them, with how long ago the copy was known
-/// to be complete, and read the store themselves only when nobody can say that any more.
+/// Load: every change and every poll costs a call for each instance that reads the store. So few
+/// instances read it. The others get the changes from them, together with the time since the copy
+/// was known to be complete, and read the store themselves only when no instance can confirm that
+/// any more.
 class TableCopy
 {
 public:
@@ -32,28 +34,31 @@
 
     [[nodiscard]] const std::string &table() const { return m_table; }
     [[nodiscard]] std::int64_t version() const { return m_version; }
-    /// The first page of the whole table is asked for.
+    /// Records that the first page of the whole table is requested.
     void beginRead(SteadyTime now) { m_readBegunAt = now; }
-    /// The whole table has been read, as it was when the first page was asked for at the earliest:
-    /// `rows` are its rows, and, as removed, those that this copy had and the table no longer has.
-    /// What changed since can still be passed on: when the store drops its history, every instance
-    /// would otherwise have to read the whole table itself.
+    /// Records that the whole table has been read. Its state is at least as new as the request of
+    /// the first page. `rows` are the rows of the table and, marked as removed, those that this
+    /// copy had and the table no longer has. Changes since the last version can still be passed on;
+    /// otherwise, when the store drops its history, every instance would have to read the whole
+    /// table itself.
     void readWhole(const std::vector<platform::StoredRow> &rows, std::int64_t version);
-    /// Changes up to `version`, read from the store.
+    /// Records changes up to `version` that were read from the store.
     void advance(const std::vector<platform::StoredRow> &rows, std::int64_t version,
                  SteadyTime now);
-    /// Changes that a peer passed on; true if they continue this copy and are to be applied.
+    /// Records changes that a peer has passed on. Returns true if they continue this copy and are
+    /// to be applied.
     bool advanceFromPeer(const TableChanges &changes);
-    /// A peer whose copy goes as far knew it to be complete this long ago.
+    /// Records that a peer with a copy of this version knew it to be complete `age` ago.
     void confirm(std::int64_t version, std::chrono::milliseconds age, SteadyTime now);
-    /// Since when the copy may lack something.
+    /// Returns the time since which the copy may lack changes.
     [[nodiscard]] std::chrono::milliseconds age(SteadyTime now) const;
-    /// What a copy that goes up to `version` lacks; nothing if that is no longer known here.
+    /// Returns the changes that a copy of version `version` lacks; nothing if they are no longer
+    /// known here.
     [[nodiscard]] std::optional<TableChanges> since(std::int64_t version) const;
 
 private:
-    /// Several seconds of the busiest changes; what is older is read from the store.
-    static constexpr std::size_t MostKept = 600;
+    /// Several seconds of changes at the highest rate. Older changes are read from the store.
+    static constexpr std::size_t MaxKeptChanges = 600;
 
     void keep(const std::vector<platform::StoredRow> &rows);
 
--- a/include/snipestall/gateway/watch_list.hpp
+++ b/include/snipestall/gateway/watch_list.hpp
@@ -5,15 +5,16 @@
 
 namespace snipestall::gateway {
 
-/// Entries that are looked at several times a second until whoever put them in takes them out.
+/// List of entries that are checked several times a second until the code that added them removes
+/// them.
 template<typename Entry>
 class WatchList
 {
 public:
-    using Ticket = typename std::list<Entry>::iterator;
+    using Handle = typename std::list<Entry>::iterator;
 
-    Ticket add(Entry entry) { return m_entries.insert(m_entries.end(), std::move(entry)); }
-    void remove(Ticket ticket) { m_entries.erase(ticket); }
+    Handle add(Entry entry) { return m_entries.insert(m_entries.end(), std::move(entry)); }
+    void remove(Handle handle) { m_entries.erase(handle); }
 
 protected:
     [[nodiscard]] std::list<Entry> &entries() { return m_entries; }
--- a/src/snipestall/gateway/attempt_watch.cpp
+++ b/src/snipestall/gateway/attempt_watch.cpp
@@ -10,7 +10,7 @@
     for (const WatchedAttempt &entry : entries()) {
         const serving::WaitingAttempt attempt { entry.sentAt, entry.server->heardAt,
                                                 entry.predicted };
-        // The attempt ends as lost, which removes its entry later on.
+        // The aborted attempt ends as lost and then removes its own entry.
         if (serving::isStalled(attempt, now))
             entry.call->abort();
     }
--- a/src/snipestall/gateway/backend_call.cpp
+++ b/src/snipestall/gateway/backend_call.cpp
@@ -29,29 +29,29 @@
 constexpr auto UseTuple = asio::as_tuple(asio::use_awaitable);
 constexpr std::size_t ReadBytes = 16 * 1024;
 constexpr std::uint32_t MaxHeadBytes = 64 * 1024;
-/// For servers that name no idle timeout of their own.
-constexpr std::chrono::seconds DefaultIdle { 20 };
-/// A connection is given up this much before the server would close it, so that a request never
-/// crosses the close.
+/// Idle timeout of servers that do not state one.
+constexpr std::chrono::seconds DefaultIdleTimeout { 20 };
+/// A connection is dropped this long before the server would close it, so that no request is sent
+/// while the server closes the connection.
 constexpr milliseconds IdleMargin { 700 };
-/// First status that is no interim response.
-constexpr unsigned FinalStatus = 200;
+/// First status code that is not an interim response.
+constexpr unsigned FirstFinalStatus = 200;
 
-/// The idle timeout that the server names, in whole seconds.
+/// Returns how long the connection may stay idle. The server states its timeout in whole seconds.
 milliseconds idleTimeoutOf(const http::fields &fields)
 {
     const auto found = fields.find(http::field::keep_alive);
     if (found == fields.end())
-        return DefaultIdle;
+        return DefaultIdleTimeout;
     const std::string_view value(found->value().data(), found->value().size());
     constexpr std::string_view Name = "timeout=";
     const std::size_t at = value.find(Name);
     if (at == std::string_view::npos)
-        return DefaultIdle;
+        return DefaultIdleTimeout;
     int seconds = 0;
     const char *from = value.data() + at + Name.size();
     if (std::from_chars(from, value.data() + value.size(), seconds).ec != std::errc())
-        return DefaultIdle;
+        return DefaultIdleTimeout;
     return std::max(milliseconds(std::chrono::seconds(seconds)) - IdleMargin, milliseconds(0));
 }
 
@@ -64,44 +64,45 @@
     , m_clock(clock)
     , m_server(std::move(server))
     , m_address(std::move(address))
-    , m_lastHeard(clock.steadyNow())
+    , m_lastReceivedAt(clock.steadyNow())
 { }
 
 BackendCall::~BackendCall() = default;
 
-void BackendCall::expireAt(SteadyTime until)
+void BackendCall::setDeadline(SteadyTime deadline)
 {
-    // The stream's timers run on the monotonic clock, `until` on the clock that counts suspension.
-    m_link->stream.expires_after(until - m_clock.steadyNow());
+    // The timers of the stream use the monotonic clock; `deadline` is a time of the clock that
+    // includes suspension.
+    m_connection->stream.expires_after(deadline - m_clock.steadyNow());
 }
 
 Task<bool> BackendCall::connect(milliseconds timeout)
 {
-    m_link = m_pool.take(m_server, m_clock.steadyNow());
-    if (m_link != nullptr)
+    m_connection = m_pool.take(m_server, m_clock.steadyNow());
+    if (m_connection != nullptr)
         co_return !m_aborted;
-    m_link = std::make_unique<BackendLink>(m_io);
+    m_connection = std::make_unique<BackendConnection>(m_io);
     beast::error_code bad;
     const asio::ip::tcp::endpoint remote(asio::ip::make_address(m_address.host, bad),
                                          m_address.port);
-    m_link->stream.expires_after(timeout);
-    auto [error] = co_await m_link->stream.async_connect(remote, UseTuple);
+    m_connection->stream.expires_after(timeout);
+    auto [error] = co_await m_connection->stream.async_connect(remote, UseTuple);
     m_refused = error == asio::error::connection_refused;
-    m_turnedAway = m_refused || error == asio::error::connection_reset;
+    m_connectionRejected = m_refused || error == asio::error::connection_reset;
     if (error || m_aborted)
         co_return false;
-    wire::detectLostPeer(m_link->stream.socket());
-    wire::resetOnClose(m_link->stream.socket());
+    wire::detectLostPeer(m_connection->stream.socket());
+    wire::resetOnClose(m_connection->stream.socket());
     co_return true;
 }
 
 Task<void> BackendCall::writeRequest()
 {
-    auto [error, bytes] = co_await http::async_write(m_link->stream, m_request, UseTuple);
-    m_written = !error;
+    auto [error, bytes] = co_await http::async_write(m_connection->stream, m_request, UseTuple);
+    m_requestWritten = !error;
 }
 
-void BackendCall::beginAnswer()
+void BackendCall::resetParser()
 {
     m_parser.emplace();
     m_parser->body_limit(boost::none);
@@ -110,34 +111,35 @@
         m_parser->skip(true);
 }
 
-Task<boost::system::error_code> BackendCall::readHead(SteadyTime until)
+Task<boost::system::error_code> BackendCall::readHead(SteadyTime deadline)
 {
     while (true) {
-        beginAnswer();
-        expireAt(until);
-        auto [error, bytes] =
-            co_await http::async_read_header(m_link->stream, m_link->buffer, *m_parser, UseTuple);
+        resetParser();
+        setDeadline(deadline);
+        auto [error, bytes] = co_await http::async_read_header(
+            m_connection->stream, m_connection->buffer, *m_parser, UseTuple);
         if (error)
             co_return error;
-        m_lastHeard = m_clock.steadyNow();
-        if (m_parser->get().result_int() < FinalStatus)
+        m_lastReceivedAt = m_clock.steadyNow();
+        if (m_parser->get().result_int() < FirstFinalStatus)
             continue;
         const auto answer =
             platform::readServerAnswer(m_parser->get().result_int(), m_parser->get());
         if (answer.attemptId == m_attemptId)
             co_return beast::error_code();
-        // An answer without an id can't be told from somebody else's.
+        // An answer without an attempt id can't be distinguished from the answer to another
+        // request.
         if (answer.attemptId.empty() || m_parser->get().need_eof())
             co_return http::make_error_code(http::error::bad_field);
-        if (const auto broken = co_await dropBody(until))
+        if (const auto broken = co_await discardBody(deadline))
             co_return broken;
     }
 }
 
-Task<boost::system::error_code> BackendCall::dropBody(SteadyTime until)
+Task<boost::system::error_code> BackendCall::discardBody(SteadyTime deadline)
 {
     while (true) {
-        const BodyRead piece = co_await readBody(until);
+        const BodyRead piece = co_await readBody(deadline);
         if (piece.kind == BodyRead::Kind::End)
             co_return beast::error_code();
         if (piece.kind != BodyRead::Kind::Bytes)
@@ -146,41 +148,43 @@
 }
 
 Task<CallStart> BackendCall::start(Request request, std::string attemptId,
-                                   milliseconds connectTimeout, SteadyTime until, Wanted wanted)
+                                   milliseconds connectTimeout, SteadyTime deadline,
+                                   IsWanted isWanted)
 {
     m_request = std::move(request);
     m_attemptId = std::move(attemptId);
     const bool connected = co_await connect(connectTimeout);
-    if (!wanted()) {
-        leaveUnsent(connected);
+    if (!isWanted()) {
+        releaseUnsent(connected);
         co_return CallStart::Unwanted;
     }
     if (!connected)
         co_return CallStart::Unreachable;
     m_maybeSent = true;
-    m_lastHeard = m_clock.steadyNow();
-    expireAt(until);
-    // The server may answer before it has read a long body: the answer is awaited meanwhile.
+    m_lastReceivedAt = m_clock.steadyNow();
+    setDeadline(deadline);
+    // The server may answer before it has read a long body, so the answer is awaited while the body
+    // is written.
     asio::co_spawn(
         m_io, [self = shared_from_this()]() -> Task<void> { co_await self->writeRequest(); },
         asio::detached);
-    const boost::system::error_code error = co_await readHead(until);
+    const boost::system::error_code error = co_await readHead(deadline);
     if (!error && !m_aborted)
         co_return CallStart::Answered;
     abort();
     co_return error == beast::error::timeout ? CallStart::TimedOut : CallStart::Lost;
 }
 
-void BackendCall::leaveUnsent(bool connected)
+void BackendCall::releaseUnsent(bool connected)
 {
-    const bool reusable = connected && !m_aborted && m_clock.steadyNow() < m_link->idleUntil;
+    const bool reusable = connected && !m_aborted && m_clock.steadyNow() < m_connection->idleUntil;
     if (reusable)
-        m_pool.giveBack(m_server, std::move(m_link));
+        m_pool.giveBack(m_server, std::move(m_connection));
     else
         abort();
 }
 
-Task<BodyRead> BackendCall::readBody(SteadyTime until)
+Task<BodyRead> BackendCall::readBody(SteadyTime deadline)
 {
     std::string bytes(ReadBytes, '\0');
     while (!m_parser->is_done()) {
@@ -189,10 +193,10 @@
         m_parser->get().body().data = bytes.data();
         m_parser->get().body().size = bytes.size();
         m_parser->get().body().more = true;
-        expireAt(until);
-        auto [error, transferred] =
-            co_await http::async_read_some(m_link->stream, m_link->buffer, *m_parser, UseTuple);
-        m_lastHeard = m_clock.steadyNow();
+        setDeadline(deadline);
+        auto [error, transferred] = co_await http::async_read_some(
+            m_connection->stream, m_connection->buffer, *m_parser, UseTuple);
+        m_lastReceivedAt = m_clock.steadyNow();
         if (error && error != http::error::need_buffer) {
             abort();
             co_return BodyRead { error == beast::error::timeout ? BodyRead::Kind::TimedOut
@@ -214,20 +218,20 @@
 void BackendCall::keepConnection()
 {
     const auto &message = m_parser->get();
-    const bool whole = m_written && m_link->buffer.size() == 0;
+    const bool whole = m_requestWritten && m_connection->buffer.size() == 0;
     if (m_aborted || !whole || !message.keep_alive() || message.need_eof()) {
         abort();
         return;
     }
-    m_link->idleUntil = m_clock.steadyNow() + idleTimeoutOf(message);
-    m_pool.giveBack(m_server, std::move(m_link));
+    m_connection->idleUntil = m_clock.steadyNow() + idleTimeoutOf(message);
+    m_pool.giveBack(m_server, std::move(m_connection));
 }
 
 void BackendCall::abort()
 {
     m_aborted = true;
-    if (m_link != nullptr)
-        m_link->stream.close();
+    if (m_connection != nullptr)
+        m_connection->stream.close();
 }
 
 } // namespace snipestall::gateway
--- a/src/snipestall/gateway/backend_pool.cpp
+++ b/src/snipestall/gateway/backend_pool.cpp
@@ -8,41 +8,43 @@
 
 namespace {
 
-bool usable(BackendLink &link, SteadyTime now)
+bool usable(BackendConnection &connection, SteadyTime now)
 {
-    return now < link.idleUntil && wire::isIdleAndOpen(link.stream.socket());
+    return now < connection.idleUntil && wire::isIdleAndOpen(connection.stream.socket());
 }
 
 } // namespace
 
-BackendLinkPtr BackendPool::take(const std::string &server, SteadyTime now)
+BackendConnectionPtr BackendPool::take(const std::string &server, SteadyTime now)
 {
     const auto found = m_idle.find(server);
     if (found == m_idle.end())
         return nullptr;
-    auto &links = found->second;
-    while (!links.empty()) {
-        BackendLinkPtr link = std::move(links.back());
-        links.pop_back();
-        if (usable(*link, now))
-            return link;
+    auto &connections = found->second;
+    while (!connections.empty()) {
+        BackendConnectionPtr connection = std::move(connections.back());
+        connections.pop_back();
+        if (usable(*connection, now))
+            return connection;
     }
     return nullptr;
 }
 
-void BackendPool::giveBack(const std::string &server, BackendLinkPtr link)
+void BackendPool::giveBack(const std::string &server, BackendConnectionPtr connection)
 {
-    auto &links = m_idle[server];
-    if (links.size() >= MostIdlePerServer)
+    auto &connections = m_idle[server];
+    if (connections.size() >= MaxIdlePerServer)
         return;
-    link->stream.expires_never();
-    links.push_back(std::move(link));
+    connection->stream.expires_never();
+    connections.push_back(std::move(connection));
 }
 
 void BackendPool::prune(SteadyTime now)
 {
-    for (auto &[server, links] : m_idle)
-        std::erase_if(links, [now](BackendLinkPtr &link) { return !usable(*link, now); });
+    for (auto &[server, connections] : m_idle)
+        std::erase_if(connections, [now](BackendConnectionPtr &connection) {
+            return !usable(*connection, now);
+        });
     std::erase_if(m_idle, [](const auto &entry) { return entry.second.empty(); });
 }
 
--- a/src/snipestall/gateway/caller_answer.cpp
+++ b/src/snipestall/gateway/caller_answer.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The content type without its parameters.
+/// Returns the content type without its parameters.
 std::string mediaTypeOf(const http::fields &fields)
 {
     const auto field = fields[http::field::content_type];
@@ -25,7 +25,7 @@
 
 } // namespace
 
-bool CallerAnswer::canGoOnWith(const http::response_header<> &head) const
+bool CallerAnswer::canContinueWith(const http::response_header<> &head) const
 {
     if (m_state == State::NotBegun)
         return true;
@@ -33,10 +33,10 @@
         && boost::beast::iequals(mediaTypeOf(head), m_mediaType);
 }
 
-Task<bool> CallerAnswer::writeWhole(CallerLink::Answer answer)
+Task<bool> CallerAnswer::writeWhole(CallerConnection::Answer answer)
 {
     if (m_state != State::NotBegun) {
-        breakOff();
+        abort();
         co_return false;
     }
     m_state = State::Ended;
@@ -50,13 +50,13 @@
 
 Task<bool> CallerAnswer::beginBody(http::response_header<> head)
 {
-    return begin(State::SpillingBody, std::move(head));
+    return begin(State::ForwardingBody, std::move(head));
 }
 
 Task<bool> CallerAnswer::begin(State kind, http::response_header<> head)
 {
     if (m_state != State::NotBegun) {
-        breakOff();
+        abort();
         co_return false;
     }
     m_state = kind;
@@ -68,7 +68,7 @@
 Task<bool> CallerAnswer::writePiece(std::string piece)
 {
     if (!begun()) {
-        breakOff();
+        abort();
         co_return false;
     }
     co_return co_await m_caller.writePiece(std::move(piece));
@@ -77,14 +77,14 @@
 Task<bool> CallerAnswer::complete(State kind)
 {
     if (m_state != kind) {
-        breakOff();
+        abort();
         co_return false;
     }
     m_state = State::Ended;
     co_return co_await m_caller.endStream();
 }
 
-void CallerAnswer::breakOff()
+void CallerAnswer::abort()
 {
     m_state = State::Ended;
     m_caller.close();
--- a/src/snipestall/gateway/caller_link.cpp
+++ b/src/snipestall/gateway/caller_connection.cpp
@@ -1,4 +1,4 @@
-#include "snipestall/gateway/caller_link.hpp"
+#include "snipestall/gateway/caller_connection.hpp"
 
 #include "snipestall/wire/socket_options.hpp"
 
@@ -29,13 +29,13 @@
 constexpr auto UseTuple = asio::as_tuple(asio::use_awaitable);
 using RequestParser = http::request_parser<http::string_body>;
 
-/// Longest that a caller may take to accept one piece of an answer.
+/// Longest time that a caller may take to accept one piece of an answer.
 constexpr std::chrono::seconds WriteTimeout { 10 };
 constexpr std::size_t FirstReadBytes = 4096;
-/// How often a caller is looked at that has sent its next request early.
-constexpr std::chrono::milliseconds WatchPause { 100 };
+/// Interval at which a caller that has sent its next request early is checked for a disconnect.
+constexpr std::chrono::milliseconds WatchInterval { 100 };
 
-RequestRead meaningOf(const beast::error_code &error)
+RequestRead toRequestRead(const beast::error_code &error)
 {
     if (error == http::error::header_limit)
         return RequestRead::HeaderTooLarge;
@@ -49,9 +49,9 @@
     return ended ? RequestRead::Closed : RequestRead::Malformed;
 }
 
-/// Whether the framing can be read in one way only. A request that this side and a backend server
-/// delimit differently could carry a second one inside its body.
-bool framingIsPlain(const RequestParser &parser)
+/// Returns whether the framing is unambiguous. If this gateway and a backend server delimited a
+/// request differently, its body could contain a second request.
+bool isFramingUnambiguous(const RequestParser &parser)
 {
     const auto &fields = parser.get();
     if (fields.count(http::field::content_length) > 1 || fields.count(http::field::host) != 1
@@ -66,14 +66,14 @@
 
 } // namespace
 
-CallerLink::CallerLink(tcp::socket socket)
+CallerConnection::CallerConnection(tcp::socket socket)
     : m_stream(std::move(socket))
     , m_watchTimer(m_stream.get_executor())
 {
     wire::detectLostPeer(m_stream.socket());
 }
 
-Task<bool> CallerLink::awaitBytes(std::chrono::milliseconds timeout)
+Task<bool> CallerConnection::awaitBytes(std::chrono::milliseconds timeout)
 {
     while (true) {
         m_idle = true;
@@ -91,7 +91,7 @@
     }
 }
 
-Task<RequestRead> CallerLink::readRequest(serving::TrafficLimits limits)
+Task<RequestRead> CallerConnection::readRequest(serving::TrafficLimits limits)
 {
     if (m_buffer.size() == 0 && !co_await awaitBytes(limits.idleTimeout))
         co_return RequestRead::Closed;
@@ -102,8 +102,8 @@
     auto [headError, headBytes] =
         co_await http::async_read_header(m_stream, m_buffer, parser, UseTuple);
     if (headError)
-        co_return meaningOf(headError);
-    if (!framingIsPlain(parser))
+        co_return toRequestRead(headError);
+    if (!isFramingUnambiguous(parser))
         co_return RequestRead::Malformed;
     if (beast::iequals(parser.get()[http::field::expect], "100-continue")) {
         static constexpr std::string_view Continue = "HTTP/1.1 100 Continue\r\n\r\n";
@@ -112,30 +112,31 @@
         if (error)
             co_return RequestRead::Closed;
     }
-    // A body is bounded in silence, not in total: a slow caller may send a large one.
+    // The timeout limits the pauses within a body, not its total time, because a slow caller may
+    // send a large body.
     while (!parser.is_done()) {
         m_stream.expires_after(limits.idleTimeout);
         auto [error, bytes] = co_await http::async_read_some(m_stream, m_buffer, parser, UseTuple);
         if (error)
-            co_return meaningOf(error);
+            co_return toRequestRead(error);
     }
     m_request = parser.release();
     co_return RequestRead::Ok;
 }
 
-void CallerLink::watchLeaving(std::function<void()> left)
+void CallerConnection::watchForDisconnect(std::function<void()> disconnected)
 {
-    m_left = std::move(left);
+    m_onDisconnect = std::move(disconnected);
     if (!m_watchArmed)
         armWatch();
 }
 
-bool CallerLink::hasLeft()
+bool CallerConnection::hasDisconnected()
 {
     return m_closed || wire::peerHasClosed(m_stream.socket());
 }
 
-void CallerLink::armWatch()
+void CallerConnection::armWatch()
 {
     m_watchArmed = true;
     m_stream.socket().async_wait(tcp::socket::wait_read,
@@ -146,10 +147,10 @@
                                  });
 }
 
-void CallerLink::watchLater()
+void CallerConnection::scheduleWatch()
 {
     m_watchArmed = true;
-    m_watchTimer.expires_after(WatchPause);
+    m_watchTimer.expires_after(WatchInterval);
     m_watchTimer.async_wait([self = shared_from_this()](const beast::error_code &error) {
         self->m_watchArmed = false;
         if (!error)
@@ -157,30 +158,30 @@
     });
 }
 
-void CallerLink::onReadable()
+void CallerConnection::onReadable()
 {
-    if (m_left == nullptr || m_closed)
+    if (m_onDisconnect == nullptr || m_closed)
         return;
-    if (hasLeft()) {
-        std::exchange(m_left, nullptr)();
+    if (hasDisconnected()) {
+        std::exchange(m_onDisconnect, nullptr)();
         return;
     }
-    // Bytes of the caller's next request stay unread until this one is answered: the socket is
-    // readable all the time, and says nothing when the caller leaves.
+    // Bytes of the next request stay unread until this one is answered. The socket is then always
+    // readable, so it does not signal that the caller leaves.
     if (wire::isIdleAndOpen(m_stream.socket()))
         armWatch();
     else
-        watchLater();
+        scheduleWatch();
 }
 
-Task<bool> CallerLink::write(Answer answer)
+Task<bool> CallerConnection::write(Answer answer)
 {
     m_stream.expires_after(WriteTimeout);
     auto [error, bytes] = co_await http::async_write(m_stream, answer, UseTuple);
     co_return !error;
 }
 
-Task<bool> CallerLink::beginStream(http::response_header<> head)
+Task<bool> CallerConnection::beginStream(http::response_header<> head)
 {
     http::response<http::empty_body> message(std::move(head));
     message.chunked(true);
@@ -190,7 +191,7 @@
     co_return !error;
 }
 
-Task<bool> CallerLink::writePiece(std::string piece)
+Task<bool> CallerConnection::writePiece(std::string piece)
 {
     if (piece.empty())
         co_return !m_closed;
@@ -200,7 +201,7 @@
     co_return !error;
 }
 
-Task<bool> CallerLink::endStream()
+Task<bool> CallerConnection::endStream()
 {
     m_stream.expires_after(WriteTimeout);
     const auto last = http::make_chunk_last();
@@ -208,10 +209,10 @@
     co_return !error;
 }
 
-void CallerLink::close()
+void CallerConnection::close()
 {
     m_closed = true;
-    m_left = nullptr;
+    m_onDisconnect = nullptr;
     m_watchTimer.cancel();
     m_stream.close();
 }
--- a/src/snipestall/gateway/caller_link_test.cpp
+++ b/src/snipestall/gateway/caller_connection_test.cpp
@@ -1,4 +1,4 @@
-#include "snipestall/gateway/caller_link.hpp"
+#include "snipestall/gateway/caller_connection.hpp"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/co_spawn.hpp>
@@ -24,17 +24,17 @@
     {
         tcp::acceptor acceptor(m_io, { boost::asio::ip::address_v4::loopback(), 0 });
         m_caller.connect(acceptor.local_endpoint());
-        m_link = std::make_shared<CallerLink>(acceptor.accept());
+        m_connection = std::make_shared<CallerConnection>(acceptor.accept());
         boost::asio::co_spawn(
             m_io,
             [this]() -> Task<void> {
                 serving::TrafficLimits limits;
                 limits.idleTimeout = 30s;
                 limits.headerTimeout = 30s;
-                m_read = co_await m_link->readRequest(limits);
+                m_read = co_await m_connection->readRequest(limits);
             },
             boost::asio::detached);
-        while (!m_link->idle())
+        while (!m_connection->idle())
             m_io.run_one();
         m_io.poll();
     }
@@ -46,24 +46,24 @@
 
     boost::asio::io_context m_io { 1 };
     tcp::socket m_caller { m_io };
-    std::shared_ptr<CallerLink> m_link;
+    std::shared_ptr<CallerConnection> m_connection;
     std::optional<RequestRead> m_read;
 };
 
-// Guards against a shutdown that closes a connection whose next request has come.
-TEST_F(CallerLinkTest, ARequestThatHasComeIsReadThoughItIsNoLongerAwaited)
+// Guards against a shutdown that closes a connection on which the next request has already arrived.
+TEST_F(CallerLinkTest, ReadsAReceivedRequestAfterTheIdleWaitIsCancelled)
 {
     send("GET / HTTP/1.1\r\nHost: a.example\r\n\r\n");
-    ASSERT_TRUE(m_link->idle());
-    m_link->stopWaiting();
+    ASSERT_TRUE(m_connection->idle());
+    m_connection->cancelIdleWait();
     m_io.restart();
     m_io.run();
     EXPECT_EQ(m_read, RequestRead::Ok);
 }
 
-TEST_F(CallerLinkTest, AnIdleConnectionEndsWhenItIsNoLongerAwaited)
+TEST_F(CallerLinkTest, ClosesAnIdleConnectionWhenTheIdleWaitIsCancelled)
 {
-    m_link->stopWaiting();
+    m_connection->cancelIdleWait();
     m_io.restart();
     m_io.run();
     EXPECT_EQ(m_read, RequestRead::Closed);
--- a/src/snipestall/gateway/caller_listener.cpp
+++ b/src/snipestall/gateway/caller_listener.cpp
@@ -2,7 +2,7 @@
 
 #include "snipestall/base/event_catalogue.hpp"
 #include "snipestall/base/log.hpp"
-#include "snipestall/gateway/caller_link.hpp"
+#include "snipestall/gateway/caller_connection.hpp"
 #include "snipestall/gateway/gateway_state.hpp"
 #include "snipestall/gateway/request_relay.hpp"
 #include "snipestall/wire/signal.hpp"
@@ -27,9 +27,9 @@
 namespace {
 
 constexpr auto UseTuple = asio::as_tuple(asio::use_awaitable);
-/// Descriptors kept free for files, peers, the store and backend servers.
+/// File descriptors reserved for files, peers, the store and backend servers.
 constexpr std::size_t ReservedDescriptors = 700;
-/// Pause of the accept loop when descriptors run out.
+/// Pause of the accept loop when no descriptors are left.
 constexpr std::chrono::milliseconds AcceptPause { 20 };
 
 struct ReadFault
@@ -45,9 +45,9 @@
     { RequestRead::HeaderTimeout, 408 },
 } };
 
-CallerLink::Answer faultAnswer(RequestRead read)
+CallerConnection::Answer faultAnswer(RequestRead read)
 {
-    CallerLink::Answer answer;
+    CallerConnection::Answer answer;
     answer.version(11);
     for (const ReadFault &fault : ReadFaults) {
         if (fault.read == read)
@@ -93,12 +93,12 @@
 
 Task<void> CallerListener::accept()
 {
-    const std::size_t most = m_state.settings.fileDescriptors > 2 * ReservedDescriptors
+    const std::size_t connectionLimit = m_state.settings.fileDescriptors > 2 * ReservedDescriptors
         ? m_state.settings.fileDescriptors - ReservedDescriptors
         : m_state.settings.fileDescriptors / 2;
     while (true) {
-        if (m_links.size() >= most) {
-            // Without a descriptor left nothing could be sent to a backend server either.
+        if (m_connections.size() >= connectionLimit) {
+            // Without a free descriptor, no request could be sent to a backend server either.
             closeIdle();
             co_await wire::sleepFor(AcceptPause);
         }
@@ -107,71 +107,72 @@
             co_await wire::sleepFor(AcceptPause);
             continue;
         }
-        auto link = std::make_shared<CallerLink>(std::move(socket));
-        m_links.emplace(link, nullptr);
-        asio::co_spawn(m_state.io, serve(std::move(link)), asio::detached);
+        auto connection = std::make_shared<CallerConnection>(std::move(socket));
+        m_connections.emplace(connection, nullptr);
+        asio::co_spawn(m_state.io, serve(std::move(connection)), asio::detached);
     }
 }
 
-Task<void> CallerListener::serve(std::shared_ptr<CallerLink> link)
+Task<void> CallerListener::serve(std::shared_ptr<CallerConnection> connection)
 {
     try {
-        co_await serveRequests(*link, link);
+        co_await serveRequests(*connection, connection);
     } catch (const std::exception &error) {
         logEvent(events::UnexpectedException, { { "error", error.what() } });
     }
-    link->close();
-    m_links.erase(link);
+    connection->close();
+    m_connections.erase(connection);
 }
 
-Task<void> CallerListener::serveRequests(CallerLink &link, std::shared_ptr<CallerLink> shared)
+Task<void> CallerListener::serveRequests(CallerConnection &connection,
+                                         std::shared_ptr<CallerConnection> shared)
 {
     while (true) {
         const serving::TrafficLimits limits =
             m_state.catalogue ? m_state.catalogue->limits() : serving::TrafficLimits {};
-        const RequestRead read = co_await link.readRequest(limits);
+        const RequestRead read = co_await connection.readRequest(limits);
         if (read == RequestRead::Closed)
             co_return;
         if (read != RequestRead::Ok) {
-            CallerLink::Answer answer = faultAnswer(read);
+            CallerConnection::Answer answer = faultAnswer(read);
             logEvent(events::GatewayRequestEnded,
                      { { "attempt", "" },
                        { "status", std::to_string(answer.result_int()) },
                        { "reason", "unreadable" } });
-            co_await link.write(std::move(answer));
+            co_await connection.write(std::move(answer));
             co_return;
         }
         ++m_state.loopWork.requestsRead;
         RequestRelay relay(m_state, shared);
-        m_links[shared] = &relay;
-        const bool goesOn = co_await relay.run();
-        m_links[shared] = nullptr;
-        if (!goesOn)
+        m_connections[shared] = &relay;
+        const bool keepOpen = co_await relay.run();
+        m_connections[shared] = nullptr;
+        if (!keepOpen)
             co_return;
     }
 }
 
 void CallerListener::closeIdle()
 {
-    for (const auto &[link, relay] : m_links) {
-        if (link->idle())
-            link->stopWaiting();
+    for (const auto &[connection, relay] : m_connections) {
+        if (connection->idle())
+            connection->cancelIdleWait();
     }
 }
 
-void CallerListener::giveUp()
+void CallerListener::cancelRequests()
 {
-    for (const auto &[link, relay] : m_links) {
+    for (const auto &[connection, relay] : m_connections) {
         if (relay != nullptr)
-            relay->giveUp();
+            relay->cancel();
     }
 }
 
 void CallerListener::logUnanswered() const
 {
-    for (const auto &[link, relay] : m_links) {
+    for (const auto &[connection, relay] : m_connections) {
         if (relay != nullptr)
-            relay->logCut();
+            relay->logUnanswered();
     }
 }
 
--- a/src/snipestall/gateway/duty_rows.hpp
+++ b/src/snipestall/gateway/duty_rows.hpp
@@ -14,10 +14,10 @@
 
 namespace snipestall::gateway {
 
-/// Several times what the store usually takes; whoever waits for it tries again soon.
+/// Several times the usual response time of the store. Callers of the store try again soon after.
 inline constexpr std::chrono::milliseconds StoreTimeout { 1200 };
-/// Shorter than the part of its lease in which a holder no longer acts, so that a call that is
-/// given up has arrived or never will when the next holder begins.
+/// Shorter than the part of its lease in which a holder no longer acts, so that a call that has
+/// timed out has either arrived by the time the next holder begins, or never will.
 inline constexpr std::chrono::milliseconds DutyTimeout { 900 };
 
 inline std::optional<boost::json::object> parseObject(const std::string &text)
--- a/src/snipestall/gateway/duty_runner.cpp
+++ b/src/snipestall/gateway/duty_runner.cpp
@@ -26,13 +26,13 @@
 
 constexpr auto DutyTable = "duty";
 constexpr auto LeaseKey = "lease";
-/// Time of day at the store's zero, in milliseconds.
+/// Time of day at which the clock of the store was zero, in milliseconds.
 constexpr auto TimeOffsetKey = "time-offset";
 
 constexpr milliseconds LeaseTick { 100 };
-/// When all instances start for the first time, one of few writes the time and the others hear of
-/// it within some intervals.
-constexpr milliseconds TimeFromPeersWithin { 2000 };
+/// Wait when all instances start for the first time: one of the few candidates writes the time
+/// offset, and the others receive it within some intervals.
+constexpr milliseconds PeerTimeWait { 2000 };
 
 platform::RowName dutyRow(const char *key)
 {
@@ -85,7 +85,7 @@
     m_lease.setCandidate(candidate, m_state.clock.steadyNow());
 }
 
-void DutyRunner::holderHeard()
+void DutyRunner::holderReported()
 {
     m_lease.holderHeard(m_state.clock.steadyNow());
 }
@@ -101,7 +101,8 @@
 
 Task<void> DutyRunner::leaseLoop()
 {
-    // Instances that start together would otherwise all write at the same moment.
+    // Random pause, because instances that start together would otherwise all write at the same
+    // moment.
     co_await wire::sleepFor(milliseconds(static_cast<std::int64_t>(m_state.random.below(500))));
     while (!m_state.draining()) {
         const SteadyTime now = m_state.clock.steadyNow();
@@ -110,10 +111,10 @@
         else if (const auto write = m_lease.wantsWrite(now))
             co_await writeLease(*write);
         const bool held = holdsLease();
-        if (held != m_held)
+        if (held != m_wasHolder)
             logEvent(held ? events::DutyLeaseTaken : events::DutyLeaseLost,
                      { { "fence", std::to_string(m_lease.fence()) } });
-        m_held = held;
+        m_wasHolder = held;
         co_await wire::sleepFor(LeaseTick);
     }
 }
@@ -122,7 +123,7 @@
 {
     const auto rows = co_await m_store.read(DutyTable, std::string(), StoreTimeout);
     if (!rows)
-        co_return; // Logged by the follower, which calls the same store all the time.
+        co_return; // StoreFollower, which calls the same store constantly, logs the error.
     const SteadyTime now = m_state.clock.steadyNow();
     const platform::StoredRow *lease = findRow(*rows, LeaseKey);
     if (lease == nullptr)
@@ -130,7 +131,7 @@
     else
         m_lease.sawRow(decodeLease(lease->value), lease->version, now);
     if (const platform::StoredRow *offset = findRow(*rows, TimeOffsetKey))
-        m_state.trueTime.setOffset(milliseconds(std::atoll(offset->value.c_str())));
+        m_state.commonTime.setOffset(milliseconds(std::atoll(offset->value.c_str())));
 }
 
 Task<void> DutyRunner::writeLease(serving::LeaseWrite write)
@@ -147,29 +148,30 @@
         m_lease.writeUnknown();
 }
 
-Task<void> DutyRunner::agreeOnTime()
+Task<void> DutyRunner::agreeOnTimeOffset()
 {
-    if (m_state.trueTime.known() || !m_state.trueTime.storeClockKnown())
+    if (m_state.commonTime.known() || !m_state.commonTime.storeClockKnown())
         co_return;
     const SteadyTime now = m_state.clock.steadyNow();
     if (m_state.settings.firstStart) {
-        if (!m_candidate && now - m_startedAt < TimeFromPeersWithin)
+        if (!m_candidate && now - m_startedAt < PeerTimeWait)
             co_return;
     } else {
-        // Others agreed on it long ago. Requests that begin before it is known here go uncounted.
+        // The other instances agreed on the offset long ago. Requests that begin before it is known
+        // here are not counted.
         co_await readLease();
-        if (m_state.trueTime.known())
+        if (m_state.commonTime.known())
             co_return;
     }
-    const auto offset = m_state.trueTime.localOffset(m_state.clock.wallNow(), now);
-    // The first instance to write decides for all; the others read its row.
+    const auto offset = m_state.commonTime.localOffset(m_state.clock.wallNow(), now);
+    // The first write sets the offset for all instances; the others read its row.
     std::vector<platform::RowCondition> conditions { { dutyRow(TimeOffsetKey), 0 } };
     std::vector<platform::RowWrite> writes { { dutyRow(TimeOffsetKey),
                                                std::to_string(offset.count()) } };
     const auto done =
         co_await m_store.write(std::move(conditions), std::move(writes), StoreTimeout);
     if (done)
-        m_state.trueTime.setOffset(offset);
+        m_state.commonTime.setOffset(offset);
     else
         co_await readLease();
 }
--- a/src/snipestall/gateway/duty_runner_fleet.cpp
+++ b/src/snipestall/gateway/duty_runner_fleet.cpp
@@ -32,7 +32,7 @@
 {
     while (true) {
         m_state.demand.sample(m_state.clock.steadyNow());
-        if (holdsLease() && m_state.catalogue && m_state.listKnown)
+        if (holdsLease() && m_state.catalogue && m_state.serverListKnown)
             co_await orderServers();
         co_await wire::sleepFor(FleetTick);
     }
@@ -58,8 +58,8 @@
 
 Task<bool> DutyRunner::learnUsualFleet(const std::string &service)
 {
-    // Servers that start with the system list themselves one after the other.
-    if (m_state.clock.steadyNow() - m_state.listGrewAt < m_state.settings.serverHeartbeat)
+    // Servers that start together with the system list themselves one after the other.
+    if (m_state.clock.steadyNow() - m_state.serverAddedAt < m_state.settings.serverHeartbeat)
         co_return false;
     std::map<std::string, int> usual;
     for (const auto &[dataCentre, count] : countServers(service))
@@ -88,7 +88,7 @@
 
 Task<void> DutyRunner::orderServers()
 {
-    // A new holder doesn't know what its predecessor ordered and orders anew.
+    // A new holder does not know the orders of its predecessor, so it sends them again.
     if (m_plannersFence != m_lease.fence())
         m_planners.clear();
     m_plannersFence = m_lease.fence();
--- a/src/snipestall/gateway/duty_runner_usage.cpp
+++ b/src/snipestall/gateway/duty_runner_usage.cpp
@@ -1,4 +1,4 @@
-// The part of DutyRunner that stores the usage that this instance counted, and reports the sum.
+// The part of DutyRunner that stores the usage that this instance counted and reports the total.
 
 #include "snipestall/gateway/duty_runner.hpp"
 
@@ -30,15 +30,20 @@
 constexpr auto ReportsTable = "usage-reports";
 
 constexpr milliseconds UsageTick { 200 };
-/// After the end of a window every instance has stored its counts; a fifth of the default window.
+/// Time after the end of a window by which every instance has stored its counts; a fifth of the
+/// default window.
 constexpr milliseconds CountsDelay { 1000 };
-/// The same where hubs store for their members, and a member that is not told so stores by itself.
+/// Time by which counts are stored if hubs store them for their members. A member that gets no
+/// confirmation from its hub stores its counts itself.
 constexpr milliseconds MembersCountsDelay { 2500 };
-/// Processes whose counts share a row: some 17 KB with forty customers, within the store's bound.
+/// Number of processes whose counts share a row: about 17 KB with forty customers, which is within
+/// the size limit of the store.
 constexpr std::size_t ProcessesPerRow = 30;
-/// Windows whose counts are kept in memory and told to peers; a report is due two windows late.
+/// Number of windows whose counts are kept in memory and reported to peers. A report is due two
+/// windows after its window.
 constexpr std::int64_t WindowsKept = 3;
-/// A new holder repeats what its predecessor may have left unsent.
+/// Number of windows that a new holder reports again, because its predecessor may not have sent
+/// them.
 constexpr std::int64_t WindowsRepeated = 3;
 
 std::string encodeCounts(const UsageCounts &counts)
@@ -49,7 +54,8 @@
     return json::serialize(object);
 }
 
-/// Counts of several processes; a row of one process's own has numbers in place of objects.
+/// Encodes the counts of several processes. A row of a single process contains numbers where this
+/// one contains objects.
 std::string encodeMembers(const std::map<std::string, UsageCounts> &members)
 {
     json::object object;
@@ -81,8 +87,8 @@
 Task<void> DutyRunner::usageLoop()
 {
     while (true) {
-        co_await agreeOnTime();
-        if (m_state.trueTime.known()) {
+        co_await agreeOnTimeOffset();
+        if (m_state.commonTime.known()) {
             co_await storeCounts();
             co_await storeMembersCounts();
             if (holdsLease())
@@ -94,13 +100,13 @@
 
 Task<void> DutyRunner::storeCounts()
 {
-    if (!m_state.trueTime.known())
+    if (!m_state.commonTime.known())
         co_return;
     const std::int64_t current =
-        m_state.usage.windowOf(m_state.trueTime.at(m_state.clock.steadyNow()));
-    // A process that shuts down stores the window that still runs, too.
+        m_state.usage.windowOf(m_state.commonTime.at(m_state.clock.steadyNow()));
+    // A process that shuts down also stores the window that is still open.
     const std::int64_t last = m_state.draining() ? current : current - 1;
-    // The running window is stored again each time: requests still begin in it.
+    // The open window is stored each time, because requests still begin in it.
     if (m_storedUpTo == 0 || m_storedUpTo >= current)
         m_storedUpTo = current - 1;
     while (m_storedUpTo < last) {
@@ -119,14 +125,14 @@
 
 milliseconds DutyRunner::sinceEndOf(std::int64_t window) const
 {
-    const WallTime now = m_state.trueTime.at(m_state.clock.steadyNow());
+    const WallTime now = m_state.commonTime.at(m_state.clock.steadyNow());
     return std::chrono::duration_cast<milliseconds>(now - m_state.usage.endOf(window));
 }
 
 Task<void> DutyRunner::storeMembersCounts()
 {
     const std::int64_t last =
-        m_state.usage.windowOf(m_state.trueTime.at(m_state.clock.steadyNow())) - 1;
+        m_state.usage.windowOf(m_state.commonTime.at(m_state.clock.steadyNow())) - 1;
     m_state.memberUsage.dropBefore(last - WindowsKept);
     if (!m_state.memberUsage.hasMembers())
         co_return;
@@ -169,7 +175,7 @@
     const UsageCounts counts = m_state.usage.counts(window);
     if (counts.empty())
         co_return true;
-    // A key for each process: what an earlier one of this instance counted stays.
+    // Each process has its own key, so the counts of an earlier process of this instance are kept.
     const platform::RowName name { CountsTable, std::to_string(window), m_state.processName() };
     std::vector<platform::RowWrite> writes { { name, encodeCounts(counts) } };
     const auto done = co_await m_store.write({}, std::move(writes), StoreTimeout);
@@ -178,7 +184,7 @@
 
 Task<void> DutyRunner::reportDue()
 {
-    const WallTime now = m_state.trueTime.at(m_state.clock.steadyNow());
+    const WallTime now = m_state.commonTime.at(m_state.clock.steadyNow());
     const std::int64_t current = m_state.usage.windowOf(now);
     m_reportedUpTo = std::max(m_reportedUpTo, current - 1 - WindowsRepeated);
     while (m_reportedUpTo + 1 < current) {
@@ -228,7 +234,7 @@
         co_await m_store.write(std::move(conditions), std::move(writes), StoreTimeout);
     if (done)
         co_return sum;
-    // Somebody fixed them before, perhaps this instance by a write whose answer was lost.
+    // The counts are already stored, perhaps by a write of this instance whose answer was lost.
     const auto rows = co_await m_store.read(ReportsTable, std::string(), StoreTimeout);
     if (!rows)
         co_return std::nullopt;
--- a/src/snipestall/gateway/exchange_transport.cpp
+++ b/src/snipestall/gateway/exchange_transport.cpp
@@ -14,9 +14,10 @@
 
 namespace {
 
-/// A peer that came back is reached within two intervals, not after gRPC's default of minutes.
+/// A peer that has restarted is reached within two intervals instead of after gRPC's default of
+/// minutes.
 constexpr int ReconnectBackoffMs = 400;
-/// A connection that has gone silent is replaced after these two together.
+/// A connection that no longer responds is replaced after the sum of these two times.
 constexpr int KeepAliveIntervalMs = 1000;
 constexpr int KeepAliveTimeoutMs = 700;
 
@@ -33,7 +34,7 @@
                                        v1::LoadReport *reply) override
     {
         grpc::ServerUnaryReactor *reactor = context->DefaultReactor();
-        // Request and reply live until the call is finished, which happens in the loop.
+        // The request and the reply exist until the call is finished, which happens in the loop.
         asio::post(m_io, [this, context, request, reply, reactor] {
             const bool awaited = !context->IsCancelled();
             m_handler(*request, awaited ? reply : nullptr);
@@ -96,7 +97,8 @@
     int port = 0;
     builder.AddListeningPort(address, grpc::InsecureServerCredentials(), &port);
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
-    // Peers probe idle connections often; gRPC would otherwise end them as abusive.
+    // Peers send keep-alive pings on idle connections often. Without this setting gRPC would close
+    // the connections because of too many pings.
     builder.AddChannelArgument(GRPC_ARG_HTTP2_MIN_RECV_PING_INTERVAL_WITHOUT_DATA_MS,
                                KeepAliveIntervalMs / 2);
     builder.RegisterService(&state->service);
--- a/src/snipestall/gateway/fleet_model.hpp
+++ b/src/snipestall/gateway/fleet_model.hpp
@@ -12,35 +12,37 @@
 
 namespace snipestall::gateway {
 
-/// A fleet of instances that exchange reports as `LoadExchange` does, in simulated time and without
-/// sockets, for tests of what the instances agree on while some of them stop.
+/// Simulates a fleet of instances that exchange reports as `LoadExchange` does, in simulated time
+/// and without sockets. Tests use it to check what the instances agree on while some of them stop.
 class FleetModel
 {
 public:
     static constexpr std::chrono::milliseconds Tick { 10 };
 
-    /// `each` instances in each of `dataCentres`, which have been serving for a while.
+    /// Creates `each` instances in each of `dataCentres`, which have been serving for some time.
     FleetModel(int dataCentres, int each, const serving::Customer &customer,
                serving::QuotaTolerance tolerance = {});
 
-    /// Units a second that callers ask for, spread evenly over the instances that are up, in
-    /// requests of this size.
+    /// Sets the units per second that callers ask for, in requests of `requestUnits` each. They are
+    /// spread evenly over the instances that are up.
     void setDemand(double unitsPerSecond, double requestUnits);
-    /// The processes with these indices stop; they are back, knowing nothing, after `downFor`.
+    /// Stops the processes with these indices. They start again after `downFor`, without any state.
     void kill(const std::vector<std::size_t> &indices, std::chrono::milliseconds downFor);
-    /// These don't answer calls for a while, though they serve their callers.
+    /// Makes these instances leave calls of peers unanswered for some time, although they serve
+    /// their callers.
     void muteAsHubs(const std::vector<std::size_t> &indices, std::chrono::milliseconds length);
-    /// A network partition separates these from all others for a while; they reach each other.
+    /// Separates these instances from all others by a network partition for some time. They still
+    /// reach each other.
     void cutOff(const std::vector<std::size_t> &indices, std::chrono::milliseconds length);
     void run(std::chrono::milliseconds length);
 
-    /// Indices of the instances that are hubs in the eyes of one that is up.
+    /// Indices of the hubs as known to one of the instances that are up.
     [[nodiscard]] std::vector<std::size_t> hubs() const;
     [[nodiscard]] std::size_t size() const { return m_instances.size(); }
     [[nodiscard]] double asked() const { return m_asked; }
     [[nodiscard]] double refused() const { return m_refused; }
-    /// The most units admitted within any window of this length, on whole ticks.
-    [[nodiscard]] double mostAdmittedWithin(std::chrono::milliseconds window) const;
+    /// The highest number of units admitted within any window of this length, in whole ticks.
+    [[nodiscard]] double maxAdmittedWithin(std::chrono::milliseconds window) const;
     void resetCounts();
 
 private:
@@ -65,7 +67,7 @@
         { }
     };
 
-    /// A call through a partition, which its caller gives up at a time.
+    /// A call into a partition. Its caller gives it up at `givenUpAt`.
     struct HangingCall
     {
         std::size_t caller;
@@ -80,7 +82,8 @@
     void giveUpHangingCalls();
     [[nodiscard]] bool isCutOff(const Instance &instance) const;
     void serve(Instance &instance);
-    static void take(Instance &receiver, const exchange::v1::LoadReport &report, SteadyTime now);
+    static void processReport(Instance &receiver, const exchange::v1::LoadReport &report,
+                              SteadyTime now);
     [[nodiscard]] exchange::v1::LoadReport
     reportFor(const Instance &sender, const std::string &receiver, bool asMember) const;
 
--- a/src/snipestall/gateway/fleet_model_test.cpp
+++ b/src/snipestall/gateway/fleet_model_test.cpp
@@ -117,12 +117,12 @@
     return sender.book.reportFor(receiver, own, asMember, m_now);
 }
 
-void FleetModel::take(Instance &receiver, const v1::LoadReport &report, SteadyTime now)
+void FleetModel::processReport(Instance &receiver, const v1::LoadReport &report, SteadyTime now)
 {
     receiver.calls.known(report.instance(), { report.data_centre() });
     receiver.calls.heard(report.instance(), now);
-    receiver.book.take(report, now);
-    if (receiver.book.isCovered(report, now)) {
+    receiver.book.addReport(report, now);
+    if (receiver.book.isCoveredByHub(report, now)) {
         receiver.quotas.forgetPeer(report.instance());
         return;
     }
@@ -148,8 +148,8 @@
     v1::LoadReport report = reportFor(from, to.name, asMember);
     if (asMember)
         report.set_series(report.series() + from.calls.stayAt(to.name));
-    take(to, report, m_now);
-    take(from, reportFor(to, from.name, false), m_now);
+    processReport(to, report, m_now);
+    processReport(from, reportFor(to, from.name, false), m_now);
     from.calls.answered(to.name);
 }
 
@@ -179,7 +179,8 @@
 
 void FleetModel::run(milliseconds length)
 {
-    // Instances exchange at different moments, as they do where each has its own timer.
+    // Instances exchange reports at different times, because in a real fleet each has its own
+    // timer.
     constexpr std::size_t Phases = 10;
     for (milliseconds passed { 0 }; passed < length; passed += Tick) {
         m_now += Tick;
@@ -210,18 +211,18 @@
     return indices;
 }
 
-double FleetModel::mostAdmittedWithin(milliseconds window) const
+double FleetModel::maxAdmittedWithin(milliseconds window) const
 {
     const auto ticks = static_cast<std::size_t>(window / Tick);
     double sum = 0;
-    double most = 0;
+    double highest = 0;
     for (std::size_t i = 0; i < m_admittedByTick.size(); ++i) {
         sum += m_admittedByTick[i];
         if (i >= ticks)
             sum -= m_admittedByTick[i - ticks];
-        most = std::max(most, sum);
+        highest = std::max(highest, sum);
     }
-    return most;
+    return highest;
 }
 
 void FleetModel::resetCounts()
@@ -236,8 +237,8 @@
 constexpr double Rate = 60000;
 constexpr double Burst = 60000;
 constexpr serving::QuotaTolerance Tolerance { 8s, 0.1, 140000 };
-/// What refusals may cost customers who stay within their quotas.
-constexpr double MostRefused = 0.01;
+/// Largest share of the demand within the quota that may be refused.
+constexpr double MaxRefusedShare = 0.01;
 
 serving::Customer largeCustomer()
 {
@@ -255,7 +256,7 @@
     return fair * (1 + Tolerance.overrun) + Tolerance.units;
 }
 
-/// Every n-th instance, hubs among them.
+/// Indices of every n-th instance; hubs are among them.
 std::vector<std::size_t> everyNth(const FleetModel &fleet, std::size_t n)
 {
     std::vector<std::size_t> indices;
@@ -264,12 +265,12 @@
     return indices;
 }
 
-/// Instances in each of six data centres.
+/// Fleets with six data centres. The parameter is the number of instances in each.
 class QuotaFleet : public testing::TestWithParam<int>
 {
 protected:
-    /// Part that is refused in the 20 s after a disturbance of what a customer asks for within its
-    /// quota.
+    /// Share of the demand of a customer within its quota that is refused in the 20 s after a
+    /// disturbance.
     static double refusedAfter(const std::function<void(FleetModel &)> &disturb)
     {
         FleetModel fleet(6, GetParam(), largeCustomer(), Tolerance);
@@ -282,68 +283,72 @@
     }
 };
 
-// Customers are refused a third of what they ask for, though it is within their quotas, for some
-// sixteen seconds after one instance in eight was killed. Instances whose hub stopped turn to
-// another, which speaks for the whole fleet as the first did; the first keeps its share as a peer
-// that is silent, so the fleet seems to have twice its size and each bucket fills at half its rate.
-TEST_P(QuotaFleet, AKillOfOneInEightRefusesNothingThatIsOwed)
+// Guards against refusals of a third of the demand within the quota for about sixteen seconds after
+// one instance in eight was killed. Members whose hub stopped turn to another hub, whose reports
+// cover the whole fleet as those of the first did. The first hub keeps its share as a peer that has
+// not reported since, so the fleet seems to have twice its size and each bucket fills at half its
+// rate.
+TEST_P(QuotaFleet, KillingOneInEightRefusesNothingWithinTheQuota)
 {
     const auto disturb = [](FleetModel &fleet) { fleet.kill(everyNth(fleet, 8), 1s); };
-    EXPECT_LE(refusedAfter(disturb), MostRefused);
+    EXPECT_LE(refusedAfter(disturb), MaxRefusedShare);
 }
 
-// A customer gets more than its quota: it floods all instances while one in eight of them is
-// killed, and those that lose their hub reckon with a fleet that they see twice, or not at all.
-TEST_P(QuotaFleet, AFloodThroughAKillOfOneInEightStaysWithinTheQuota)
+// Guards against a customer that exceeds its quota by sending several times its quota to all
+// instances while one in eight of them is killed. The instances that lose their hub count the fleet
+// twice or not at all.
+TEST_P(QuotaFleet, FloodDuringKillOfOneInEightStaysWithinTheQuota)
 {
     FleetModel fleet(6, GetParam(), largeCustomer(), Tolerance);
     fleet.setDemand(3 * Rate, 200);
     fleet.run(6s);
     fleet.kill(everyNth(fleet, 8), 1s);
     fleet.run(20s);
-    EXPECT_LE(fleet.mostAdmittedWithin(8s), allowedIn(8s));
+    EXPECT_LE(fleet.maxAdmittedWithin(8s), allowedIn(8s));
 }
 
-// Customers are refused within their quotas when all hubs are killed at once: every other instance
-// turns to a hub that it has not heard before, and back when the first ones have started again.
-TEST_P(QuotaFleet, AKillOfAllHubsRefusesNothingThatIsOwed)
+// Guards against refusals within the quota when all hubs are killed at once: every other instance
+// turns to a hub that it has no reports of, and back when the first hubs have started again.
+TEST_P(QuotaFleet, KillingAllHubsRefusesNothingWithinTheQuota)
 {
     const auto disturb = [](FleetModel &fleet) { fleet.kill(fleet.hubs(), 1s); };
-    EXPECT_LE(refusedAfter(disturb), MostRefused);
+    EXPECT_LE(refusedAfter(disturb), MaxRefusedShare);
 }
 
-// Customers are refused within their quotas while hubs answer no calls: an overloaded hub is left
-// and tried again, over and over, and each change of hub is a new start of what is known of the
-// fleet.
-TEST_P(QuotaFleet, HubsThatDoNotAnswerRefuseNothingThatIsOwed)
+// Guards against refusals within the quota while hubs answer no calls: members leave an overloaded
+// hub and try it again repeatedly, and each change of hub discards what is known of the fleet.
+TEST_P(QuotaFleet, UnresponsiveHubsRefuseNothingWithinTheQuota)
 {
     const auto disturb = [](FleetModel &fleet) { fleet.muteAsHubs(everyNth(fleet, 4), 6s); };
-    EXPECT_LE(refusedAfter(disturb), MostRefused);
+    EXPECT_LE(refusedAfter(disturb), MaxRefusedShare);
 }
 
-// After a kill of all instances customers are refused what is owed until the buckets have filled
-// up. What was given out before the kill is not known any more, so some of it is refused.
-TEST_P(QuotaFleet, AKillOfAllRefusesLittleThatIsOwed)
+// Guards against refusals within the quota after a kill of all instances, until the buckets have
+// filled up. The units that were granted before the kill are no longer known, so a small share is
+// refused.
+TEST_P(QuotaFleet, KillingAllInstancesRefusesLittleWithinTheQuota)
 {
     const auto disturb = [](FleetModel &fleet) { fleet.kill(everyNth(fleet, 1), 1s); };
-    EXPECT_LE(refusedAfter(disturb), MostRefused);
+    EXPECT_LE(refusedAfter(disturb), MaxRefusedShare);
 }
 
-// A customer gets more than its quota: it floods all instances through a kill of all of them, after
-// which none knows what was given out before, nor what the others are asked for.
-TEST_P(QuotaFleet, AFloodThroughAKillOfAllStaysWithinTheQuota)
+// Guards against a customer that exceeds its quota by sending several times its quota to all
+// instances during a kill of all of them. After it, no instance knows how much was granted before,
+// nor how much the others are asked for.
+TEST_P(QuotaFleet, FloodDuringKillOfAllInstancesStaysWithinTheQuota)
 {
     FleetModel fleet(6, GetParam(), largeCustomer(), Tolerance);
     fleet.setDemand(3 * Rate, 2000);
     fleet.run(6s);
     fleet.kill(everyNth(fleet, 1), 1s);
     fleet.run(12s);
-    EXPECT_LE(fleet.mostAdmittedWithin(8s), allowedIn(8s));
+    EXPECT_LE(fleet.maxAdmittedWithin(8s), allowedIn(8s));
 }
 
-// A customer gets more than its quota: a flood has just begun when a network partition separates a
-// third of the instances, and both sides give out what the other one uses.
-TEST_P(QuotaFleet, AFloodThroughAPartitionStaysWithinTheQuota)
+// Guards against a customer that exceeds its quota: its demand has just risen above the quota when
+// a network partition separates a third of the instances, and each side grants the units that the
+// other side uses.
+TEST_P(QuotaFleet, FloodDuringPartitionStaysWithinTheQuota)
 {
     FleetModel fleet(6, GetParam(), largeCustomer(), Tolerance);
     fleet.setDemand(0.7 * Rate, 1000);
@@ -352,7 +357,7 @@
     fleet.run(460ms);
     fleet.cutOff(everyNth(fleet, 3), 10s);
     fleet.run(12s);
-    EXPECT_LE(fleet.mostAdmittedWithin(8s), allowedIn(8s));
+    EXPECT_LE(fleet.maxAdmittedWithin(8s), allowedIn(8s));
 }
 
 INSTANTIATE_TEST_SUITE_P(Sizes, QuotaFleet, testing::Values(2, 10, 50));
--- a/src/snipestall/gateway/gateway.cpp
+++ b/src/snipestall/gateway/gateway.cpp
@@ -28,9 +28,9 @@
 
 namespace {
 
-constexpr milliseconds HousekeepingEvery { 250 };
-/// Finer than any target latency by far.
-constexpr milliseconds AttemptCheckEvery { 50 };
+constexpr milliseconds HousekeepingInterval { 250 };
+/// Much shorter than any target latency.
+constexpr milliseconds AttemptCheckInterval { 50 };
 constexpr milliseconds DrainTick { 50 };
 constexpr milliseconds EndTick { 10 };
 
@@ -54,16 +54,16 @@
 
     [[nodiscard]] bool ready() const
     {
-        return !state.draining() && state.catalogue && state.listKnown;
+        return !state.draining() && state.catalogue && state.serverListKnown;
     }
 
     Task<void> housekeeping();
     Task<void> watchAttempts();
     Task<void> drain();
-    /// Tells the store that this instance is no longer there.
+    /// Removes this instance from the store and stores its counts.
     Task<void> leaveFleet();
     Task<void> storeLastCounts();
-    void noteRefusing();
+    void logRefusing();
 
     GatewayState state;
     platform::StoreClient store;
@@ -76,7 +76,7 @@
     std::unique_ptr<wire::HttpServer> metrics;
     bool leftFleet = false;
     bool countsStored = false;
-    bool refusalNoted = false;
+    bool refusalLogged = false;
 };
 
 Gateway::Gateway(std::unique_ptr<Parts> parts)
@@ -90,7 +90,7 @@
     auto parts = std::make_unique<Parts>(io, std::move(settings));
     Parts *raw = parts.get();
     LoadExchange::Hooks hooks { [raw] { return raw->duties.holdsLease(); },
-                                [raw] { raw->duties.holderHeard(); },
+                                [raw] { raw->duties.holderReported(); },
                                 [raw](bool candidate) { raw->duties.setCandidate(candidate); } };
     auto exchange = LoadExchange::create(raw->state, raw->store, raw->follower, std::move(hooks));
     if (!exchange)
@@ -115,7 +115,7 @@
         io, metricsAddress, [raw](wire::HttpExchange &exchange) -> Task<void> {
             wire::HttpResponse response;
             response.fields.set("Content-Type", "text/plain; version=0.0.4");
-            response.body = raw->state.metrics.page(raw->state);
+            response.body = raw->state.metrics.render(raw->state);
             co_await exchange.respond(std::move(response));
         });
     if (!metrics)
@@ -138,9 +138,9 @@
 Task<void> Gateway::Parts::watchAttempts()
 {
     while (true) {
-        const SteadyTime due = state.clock.steadyNow() + AttemptCheckEvery;
-        co_await wire::sleepFor(AttemptCheckEvery);
-        // What servers have sent since then may wait to be read behind this.
+        const SteadyTime due = state.clock.steadyNow() + AttemptCheckInterval;
+        co_await wire::sleepFor(AttemptCheckInterval);
+        // Data that servers have sent since `due` may still be waiting to be read after this check.
         state.attempts.check(due);
         state.streams.check(state.clock.steadyNow());
     }
@@ -150,14 +150,14 @@
 {
     bool wasReady = false;
     while (true) {
-        follower.settleServers();
+        follower.updateLapsedServers();
         state.servers.compareSpeeds();
         state.backends.prune(state.clock.steadyNow());
         if (ready() != wasReady) {
             wasReady = !wasReady;
             logEvent(events::GatewayReady, { { "ready", wasReady ? "yes" : "no" } });
         }
-        co_await wire::sleepFor(HousekeepingEvery);
+        co_await wire::sleepFor(HousekeepingInterval);
     }
 }
 
@@ -183,14 +183,14 @@
 {
     while (!state.shutdown->mustAnswer(state.clock.steadyNow(), state.loopLag.last())) {
         if (!state.takesWork()) {
-            noteRefusing();
+            logRefusing();
             callers->closeIdle();
             if (callers->connections() == 0)
                 break;
         }
         co_await wire::sleepFor(DrainTick);
     }
-    callers->giveUp();
+    callers->cancelRequests();
     asio::co_spawn(state.io, storeLastCounts(), asio::detached);
     const auto mayEnd = [this] { return countsStored && callers->connections() == 0; };
     while (!mayEnd() && !state.shutdown->mustEnd(state.clock.steadyNow(), state.loopLag.last())) {
@@ -206,17 +206,17 @@
 {
     while (!leftFleet)
         co_await wire::sleepFor(EndTick);
-    // What was counted since, for requests that began meanwhile.
+    // Stores the counts of the requests that began meanwhile.
     co_await duties.leave();
     countsStored = true;
 }
 
-void Gateway::Parts::noteRefusing()
+void Gateway::Parts::logRefusing()
 {
-    if (std::exchange(refusalNoted, true))
+    if (std::exchange(refusalLogged, true))
         return;
     const auto since = state.clock.steadyNow() - state.shutdown->signalled();
-    logEvent(events::ShutdownRefuses, { { "after_ms", std::to_string(inMillis(since)) } });
+    logEvent(events::ShutdownRefuses, { { "after_ms", std::to_string(toMillis(since)) } });
 }
 
 void Gateway::settingsChanged(const GatewaySettings &settings)
--- a/src/snipestall/gateway/gateway_metrics.cpp
+++ b/src/snipestall/gateway/gateway_metrics.cpp
@@ -15,12 +15,12 @@
 
 namespace {
 
-/// Seconds, dense around targets from 0.1 s to 1.5 s.
+/// Bucket bounds in seconds, dense around target latencies from 0.1 s to 1.5 s.
 const prometheus::Histogram::BucketBoundaries LatencyBounds {
     0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.0, 1.2, 1.5, 2.0, 4.0, 10.0
 };
 
-struct Level
+struct Gauge
 {
     const char *name;
     const char *help;
@@ -35,7 +35,7 @@
     return count;
 }
 
-constexpr std::array<Level, 11> Levels { {
+constexpr std::array<Gauge, 11> Gauges { {
     { "snipestall_gateway_requests", "Requests read since the start.",
       [](const GatewayState &s) { return double(s.counters.requests); } },
     { "snipestall_gateway_answered", "Requests answered by a backend server since the start.",
@@ -44,20 +44,21 @@
       [](const GatewayState &s) { return double(s.counters.refused); } },
     { "snipestall_gateway_failed", "Requests that ended in a failure since the start.",
       [](const GatewayState &s) { return double(s.counters.failed); } },
-    { "snipestall_gateway_callers_gone", "Callers that left before their answer.",
+    { "snipestall_gateway_callers_gone", "Callers that left before their answer was complete.",
       [](const GatewayState &s) { return double(s.counters.callersGone); } },
     { "snipestall_gateway_attempts", "Sends to backend servers since the start.",
       [](const GatewayState &s) { return double(s.counters.attempts); } },
     { "snipestall_gateway_in_flight", "Requests that have no final answer yet.",
       [](const GatewayState &s) { return double(s.requestsInFlight); } },
-    { "snipestall_gateway_servers", "Backend servers that take work, as known here.",
+    { "snipestall_gateway_servers", "Backend servers that accept work, as known to this instance.",
       serversInUse },
-    { "snipestall_gateway_config_version", "Version of the configuration in force; 0 for none.",
+    { "snipestall_gateway_config_version",
+      "Version of the configuration in force; 0 if there is none.",
       [](const GatewayState &s) { return s.catalogue ? double(s.catalogue->version()) : 0; } },
-    { "snipestall_gateway_draining", "1 while a graceful shutdown runs.",
+    { "snipestall_gateway_draining", "1 during a graceful shutdown.",
       [](const GatewayState &s) { return s.draining() ? 1.0 : 0.0; } },
     { "snipestall_gateway_time_known", "1 once the common time of day is known.",
-      [](const GatewayState &s) { return s.trueTime.known() ? 1.0 : 0.0; } },
+      [](const GatewayState &s) { return s.commonTime.known() ? 1.0 : 0.0; } },
 } };
 
 double secondsOf(std::chrono::nanoseconds time)
@@ -78,49 +79,50 @@
 GatewayMetrics::GatewayMetrics()
     : m_families(std::make_unique<Families>())
 {
-    m_families->firstByte = &prometheus::BuildHistogram()
-                                 .Name("snipestall_gateway_first_byte_seconds")
-                                 .Help("From a request's arrival to the first byte of its answer.")
-                                 .Register(m_families->registry);
+    m_families->firstByte =
+        &prometheus::BuildHistogram()
+             .Name("snipestall_gateway_first_byte_seconds")
+             .Help("Time from a request's arrival to the first byte of its answer.")
+             .Register(m_families->registry);
     m_families->duration = &prometheus::BuildHistogram()
                                 .Name("snipestall_gateway_request_seconds")
-                                .Help("From a request's arrival to its end, by status.")
+                                .Help("Time from a request's arrival to its end, by status.")
                                 .Register(m_families->registry);
     m_families->loopDelay = &prometheus::BuildHistogram()
                                  .Name("snipestall_gateway_loop_delay_seconds")
-                                 .Help("How late the process came to its events.")
+                                 .Help("Delay of the I/O loop in handling its events.")
                                  .Register(m_families->registry)
                                  .Add({}, LatencyBounds);
 }
 
 GatewayMetrics::~GatewayMetrics() = default;
 
-void GatewayMetrics::firstByte(const std::string &service, std::chrono::nanoseconds waited)
+void GatewayMetrics::recordFirstByte(const std::string &service, std::chrono::nanoseconds waited)
 {
     m_families->firstByte->Add({ { "service", service } }, LatencyBounds)
         .Observe(secondsOf(waited));
 }
 
-void GatewayMetrics::ended(unsigned status, std::chrono::nanoseconds took)
+void GatewayMetrics::recordRequestEnd(unsigned status, std::chrono::nanoseconds took)
 {
     m_families->duration->Add({ { "status", std::to_string(status) } }, LatencyBounds)
         .Observe(secondsOf(took));
 }
 
-void GatewayMetrics::loopLate(std::chrono::nanoseconds delay)
+void GatewayMetrics::recordLoopDelay(std::chrono::nanoseconds delay)
 {
     m_families->loopDelay->Observe(secondsOf(delay));
 }
 
-std::string GatewayMetrics::page(const GatewayState &state)
+std::string GatewayMetrics::render(const GatewayState &state)
 {
-    for (const Level &level : Levels) {
+    for (const Gauge &gauge : Gauges) {
         prometheus::BuildGauge()
-            .Name(level.name)
-            .Help(level.help)
+            .Name(gauge.name)
+            .Help(gauge.help)
             .Register(m_families->registry)
             .Add({})
-            .Set(level.value(state));
+            .Set(gauge.value(state));
     }
     std::ostringstream text;
     prometheus::TextSerializer().Serialize(text, m_families->registry.Collect());
--- a/src/snipestall/gateway/gateway_settings.cpp
+++ b/src/snipestall/gateway/gateway_settings.cpp
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-/// Reads fields and gathers faults instead of stopping at the first.
+/// Reads fields and collects all faults instead of stopping at the first.
 class Reader
 {
 public:
@@ -25,12 +25,12 @@
     }
 
     template<typename Value>
-    Value optional(const YAML::Node &parent, const std::string &name, Value otherwise)
+    Value optional(const YAML::Node &parent, const std::string &name, Value fallback)
     {
         const YAML::Node node = parent[name];
         if (!node.IsDefined() || node.IsNull())
-            return otherwise;
-        return read<Value>(node, name, otherwise);
+            return fallback;
+        return read<Value>(node, name, fallback);
     }
 
     wire::Endpoint endpoint(const YAML::Node &parent, const std::string &name)
@@ -38,25 +38,26 @@
         const auto text = required<std::string>(parent, name);
         const auto parsed = wire::Endpoint::parse(text);
         if (!parsed)
-            fault(name + " '" + text + "' is no address such as 10.0.0.1:8080");
+            fault(name + " '" + text + "' is not an address such as 10.0.0.1:8080");
         return parsed.value_or(wire::Endpoint {});
     }
 
-    milliseconds millis(const YAML::Node &parent, const std::string &name, milliseconds otherwise)
+    milliseconds millis(const YAML::Node &parent, const std::string &name, milliseconds fallback)
     {
-        const auto value = optional(parent, name, static_cast<double>(otherwise.count()));
+        const auto value = optional(parent, name, static_cast<double>(fallback.count()));
         return milliseconds(static_cast<std::int64_t>(value));
     }
 
-    milliseconds seconds(const YAML::Node &parent, const std::string &name, milliseconds otherwise)
+    milliseconds seconds(const YAML::Node &parent, const std::string &name, milliseconds fallback)
     {
         constexpr double MillisPerSecond = 1000;
         const auto value =
-            optional(parent, name, static_cast<double>(otherwise.count()) / MillisPerSecond);
+            optional(parent, name, static_cast<double>(fallback.count()) / MillisPerSecond);
         return milliseconds(static_cast<std::int64_t>(value * MillisPerSecond));
     }
 
-    /// A map inside another; an empty one if it is absent, whose fields then count as missing.
+    /// Returns a map inside another. If it is absent, the result is an empty map, whose fields then
+    /// count as missing.
     static YAML::Node section(const YAML::Node &parent, const std::string &name)
     {
         const YAML::Node node = parent[name];
@@ -67,13 +68,13 @@
 
 private:
     template<typename Value>
-    Value read(const YAML::Node &node, const std::string &name, Value otherwise)
+    Value read(const YAML::Node &node, const std::string &name, Value fallback)
     {
         try {
             return node.as<Value>();
         } catch (const YAML::Exception &) {
             fault(name + " has the wrong type");
-            return otherwise;
+            return fallback;
         }
     }
 
@@ -109,11 +110,12 @@
     try {
         YAML::Node root = YAML::Load(std::string(yaml));
         if (!root.IsMap())
-            return fail(ErrorKind::InvalidArgument, "the settings are no map; see docs/gateway.md");
+            return fail(ErrorKind::InvalidArgument,
+                        "the settings are not a map; see docs/gateway.md");
         return root;
     } catch (const YAML::Exception &error) {
         return fail(ErrorKind::InvalidArgument,
-                    std::string("the settings are no YAML: ") + error.what());
+                    std::string("the settings are not valid YAML: ") + error.what());
     }
 }
 
@@ -149,7 +151,7 @@
     settings.bounds = readBounds(reader, Reader::section(*root, "bounds"));
     if (!reader.faults().empty())
         return fail(ErrorKind::InvalidArgument,
-                    "faulty settings: " + reader.faults() + "; see docs/gateway.md");
+                    "invalid settings: " + reader.faults() + "; see docs/gateway.md");
     return settings;
 }
 
--- a/src/snipestall/gateway/gateway_settings_test.cpp
+++ b/src/snipestall/gateway/gateway_settings_test.cpp
@@ -37,8 +37,8 @@
     EXPECT_EQ(settings->bounds.lease, 3s);
 }
 
-// A process ends with an abort instead of a line that says what is wrong: its settings lack a
-// whole section.
+// Guards against a process that aborts without an error message because its settings lack a whole
+// section.
 TEST(GatewaySettings, NamesEveryFaultAtOnce)
 {
     const auto settings = GatewaySettings::parse("instance: a\ncallers: nowhere\n");
@@ -47,7 +47,7 @@
         EXPECT_NE(settings.error().message.find(name), std::string::npos) << name;
 }
 
-TEST(GatewaySettings, RefusesWhatIsNoMap)
+TEST(GatewaySettings, RejectsSettingsThatAreNotAMap)
 {
     EXPECT_FALSE(GatewaySettings::parse(""));
     EXPECT_FALSE(GatewaySettings::parse("- a"));
--- a/src/snipestall/gateway/instance_row_test.cpp
+++ b/src/snipestall/gateway/instance_row_test.cpp
@@ -4,7 +4,7 @@
 
 namespace snipestall::gateway {
 
-TEST(InstanceRow, IsReadAsItWasWritten)
+TEST(InstanceRow, IsDecodedAsItWasEncoded)
 {
     const auto row = decodeInstance(encodeInstance({ "east", "10.0.0.1:7600", 120 }));
     ASSERT_TRUE(row);
@@ -13,8 +13,9 @@
     EXPECT_EQ(row->milliCores, 120U);
 }
 
-// Guards against instances of an earlier version that are left out while versions are mixed.
-TEST(InstanceRow, ARowWithoutProcessorTimeIsRead)
+// Guards against the loss of instances of an earlier version, which write no processor time, while
+// versions are mixed.
+TEST(InstanceRow, DecodesARowWithoutProcessorTime)
 {
     const auto row = decodeInstance("east 10.0.0.1:7600");
     ASSERT_TRUE(row);
--- a/src/snipestall/gateway/load_exchange.cpp
+++ b/src/snipestall/gateway/load_exchange.cpp
@@ -27,19 +27,19 @@
 
 constexpr auto InstancesTable = "instances";
 constexpr milliseconds CallTimeout { 600 };
-/// Peers that are silent for longer are logged.
+/// Peers that have not reported for longer are logged.
 constexpr milliseconds SilentAfter { 1500 };
-/// The table is read rarely; a new instance calls all others itself.
-constexpr milliseconds ReadEvery { 60000 };
-/// Instances that start together have registered themselves by then. One that is missed calls its
-/// hub or the other hubs itself.
-constexpr milliseconds ReadAgainAfter { 700 };
-constexpr milliseconds ReadAgainJitter { 300 };
+/// Interval of reading the table. It is long, because a new instance calls all others itself.
+constexpr milliseconds ReadInterval { 60000 };
+/// Time after which instances that start together have registered themselves. An instance that is
+/// missed by the second read calls its hub or the other hubs itself.
+constexpr milliseconds SecondReadAfter { 700 };
+constexpr milliseconds SecondReadJitter { 300 };
 constexpr milliseconds StoreTimeout { 1500 };
 constexpr milliseconds RetryPause { 300 };
-/// Some intervals of reports: a copy that is older is not kept up to date by its data centre's
-/// reader.
-constexpr milliseconds FollowedWithin { 700 };
+/// Several intervals of reports. A copy that is older is not kept up to date by the reader of its
+/// data centre.
+constexpr milliseconds LocalCopyMaxAge { 700 };
 
 } // namespace
 
@@ -97,12 +97,12 @@
     co_return written.has_value();
 }
 
-void LoadExchange::setAddress(const std::string &name, const std::string &address,
-                              const serving::OverlayPeer &place)
+void LoadExchange::updatePeer(const std::string &name, const std::string &address,
+                              const serving::OverlayPeer &overlayPeer)
 {
-    m_calls.known(name, place);
+    m_calls.known(name, overlayPeer);
     Peer &peer = m_peers[name];
-    peer.dataCentre = place.dataCentre;
+    peer.dataCentre = overlayPeer.dataCentre;
     if (peer.address == address)
         return;
     peer.address = address;
@@ -121,7 +121,7 @@
         const auto instance = decodeInstance(row.value);
         if (row.name.key == m_state.settings.instance || !instance)
             continue;
-        setAddress(row.name.key, instance->address, { instance->dataCentre, instance->milliCores });
+        updatePeer(row.name.key, instance->address, { instance->dataCentre, instance->milliCores });
     }
     co_return true;
 }
@@ -130,8 +130,8 @@
 {
     while (!co_await registerSelf())
         co_await wire::sleepFor(RetryPause);
-    milliseconds pause = ReadAgainAfter;
-    milliseconds jitter = ReadAgainJitter;
+    milliseconds pause = SecondReadAfter;
+    milliseconds jitter = SecondReadJitter;
     while (true) {
         if (!co_await readInstances()) {
             co_await wire::sleepFor(RetryPause);
@@ -141,8 +141,8 @@
             m_state.random.below(static_cast<std::uint64_t>(jitter.count())));
         co_await wire::sleepFor(pause + milliseconds(extra));
         m_listSettled = true;
-        pause = ReadEvery;
-        jitter = ReadEvery / 4;
+        pause = ReadInterval;
+        jitter = ReadInterval / 4;
     }
 }
 
@@ -170,13 +170,13 @@
     const SteadyTime now = m_state.clock.steadyNow();
     for (const std::string &name : m_calls.due(now, m_book.hasMembers(now)))
         call(name, m_peers.at(name));
-    takeRole();
+    applyRole();
 }
 
-void LoadExchange::takeRole()
+void LoadExchange::applyRole()
 {
-    // Alone, as it seems before the others are known, every instance would read for all, and
-    // compete for the lease.
+    // Before the other instances are known, each would consider itself the only one, read the store
+    // for all, and compete for the lease.
     const serving::Overlay &overlay = m_calls.overlay();
     m_follower.setReader(m_listSettled && overlay.isReader());
     m_hooks.setCandidate(m_listSettled && overlay.isHub());
@@ -191,7 +191,7 @@
         report.set_series(report.series() + m_calls.stayAt(name));
     peer.channel->send(report, CallTimeout, [this, name](const v1::LoadReport *report) {
         if (report == nullptr) {
-            noteUnanswered(name);
+            handleUnanswered(name);
             return;
         }
         m_calls.answered(name);
@@ -199,9 +199,9 @@
     });
 }
 
-void LoadExchange::noteUnanswered(const std::string &peer)
+void LoadExchange::handleUnanswered(const std::string &peer)
 {
-    // The answer may wait here to be read.
+    // The answer may have arrived, but not been read yet.
     if (m_state.loopLag.last() >= serving::LoopLag::LateAfter)
         m_calls.abandoned(peer);
     else
@@ -219,7 +219,7 @@
     report.set_instances(1);
     report.set_heard_instances(1);
     report.set_process(m_state.processName());
-    if (const auto offset = m_state.trueTime.offset())
+    if (const auto offset = m_state.commonTime.offset())
         report.set_time_offset_ms(offset->count());
     report.set_holds_lease(m_hooks.holdsLease());
     for (const auto &[id, server] : m_state.servers.all()) {
@@ -242,8 +242,8 @@
         work->set_service(service);
         work->set_seconds(seconds);
     }
-    if (m_state.trueTime.known()) {
-        const WallTime time = m_state.trueTime.at(m_state.clock.steadyNow());
+    if (m_state.commonTime.known()) {
+        const WallTime time = m_state.commonTime.at(m_state.clock.steadyNow());
         report.set_usage_closed_up_to(m_state.usage.windowOf(time) - 1);
     }
     for (const auto &[window, counts] : m_state.usage.all()) {
@@ -273,11 +273,11 @@
     return report;
 }
 
-bool LoadExchange::followsItself(const Peer &peer, const std::string &table) const
+bool LoadExchange::hasLocalReader(const Peer &peer, const std::string &table) const
 {
     const auto age = peer.ages.find(table);
     return peer.dataCentre != m_state.settings.dataCentre && age != peer.ages.end()
-        && age->second <= FollowedWithin;
+        && age->second <= LocalCopyMaxAge;
 }
 
 void LoadExchange::addTable(const TableCopy &copy, const Peer *receiver,
@@ -286,11 +286,11 @@
     v1::TableState *state = report.add_tables();
     state->set_table(copy.table());
     state->set_version(copy.version());
-    constexpr milliseconds Oldest { 3600000 };
+    constexpr milliseconds MaxAge { 3600000 };
     state->set_age_ms(
-        static_cast<std::uint32_t>(std::min(copy.age(m_state.clock.steadyNow()), Oldest).count()));
+        static_cast<std::uint32_t>(std::min(copy.age(m_state.clock.steadyNow()), MaxAge).count()));
     if (receiver == nullptr || !receiver->versions.contains(copy.table())
-        || followsItself(*receiver, copy.table()))
+        || hasLocalReader(*receiver, copy.table()))
         return;
     const auto changes = copy.since(receiver->versions.at(copy.table()));
     if (!changes)
@@ -305,13 +305,13 @@
     }
 }
 
-void LoadExchange::takeTables(const v1::LoadReport &report, Peer &peer)
+void LoadExchange::applyTables(const v1::LoadReport &report, Peer &peer)
 {
     for (const v1::TableState &state : report.tables()) {
         m_state.loopWork.rows += static_cast<std::size_t>(state.rows_size());
         peer.versions[state.table()] = state.version();
         peer.ages[state.table()] = milliseconds(state.age_ms());
-        // Without rows the sender's copy can only confirm one that goes as far.
+        // Without rows, the copy of the sender can only confirm a copy of the same version.
         TableChanges changes { state.rows_from() == 0 ? state.version() : state.rows_from(),
                                state.version(),
                                {} };
@@ -320,11 +320,11 @@
                                      row.value(),
                                      row.version(),
                                      row.removed() });
-        m_follower.peerCopy(changes, state.table(), milliseconds(state.age_ms()));
+        m_follower.applyPeerChanges(changes, state.table(), milliseconds(state.age_ms()));
     }
 }
 
-void LoadExchange::takeUsage(const v1::LoadReport &report)
+void LoadExchange::applyUsage(const v1::LoadReport &report)
 {
     if (report.for_member())
         m_state.memberUsage.hubStored(report.usage_stored_up_to(), m_state.clock.steadyNow());
@@ -336,17 +336,18 @@
     }
 }
 
-void LoadExchange::forgetSums(const std::string &peer)
+void LoadExchange::forgetTotals(const std::string &peer)
 {
     m_state.peerLoads.forget(peer);
     m_state.quotas.forgetPeer(peer);
     m_state.demand.forgetPeer(peer);
 }
 
-void LoadExchange::takeSums(const v1::LoadReport &report, SteadyTime now)
+void LoadExchange::applyTotals(const v1::LoadReport &report, SteadyTime now)
 {
     if (report.for_member() && m_hub != report.instance()) {
-        // Both hubs speak for the whole fleet; added up, every server looks twice as full.
+        // The reports of both hubs cover the whole fleet. If they were added up, every server would
+        // look twice as loaded.
         m_state.peerLoads.forget(m_hub);
         m_hub = report.instance();
     }
@@ -365,41 +366,41 @@
     m_state.demand.peerWork(report.instance(), report.series(), services);
 }
 
-void LoadExchange::take(const v1::LoadReport &report)
+void LoadExchange::processReport(const v1::LoadReport &report)
 {
     if (report.instance().empty() || report.instance() == m_state.settings.instance)
         return;
     const SteadyTime now = m_state.clock.steadyNow();
-    setAddress(report.instance(), report.address(), { report.data_centre(), report.milli_cores() });
+    updatePeer(report.instance(), report.address(), { report.data_centre(), report.milli_cores() });
     m_calls.heard(report.instance(), now);
     Peer &peer = m_peers.at(report.instance());
     if (peer.silent)
         logEvent(events::GatewayPeerHeard,
                  { { "peer", report.instance() }, { "address", peer.address } });
     peer.silent = false;
-    peer.heard = now;
+    peer.lastReportAt = now;
     peer.process = report.process();
-    m_book.take(report, now);
-    if (m_book.isCovered(report, now))
-        forgetSums(report.instance());
+    m_book.addReport(report, now);
+    if (m_book.isCoveredByHub(report, now))
+        forgetTotals(report.instance());
     else
-        takeSums(report, now);
+        applyTotals(report, now);
     m_state.retries.setInstances(instances());
-    // The first to write it to the store decided for all: every instance has the same.
-    if (report.has_time_offset_ms() && !m_state.trueTime.offset())
-        m_state.trueTime.setOffset(milliseconds(report.time_offset_ms()));
-    takeUsage(report);
-    takeTables(report, peer);
+    // The first write to the store set the offset for all, so every instance has the same.
+    if (report.has_time_offset_ms() && !m_state.commonTime.offset())
+        m_state.commonTime.setOffset(milliseconds(report.time_offset_ms()));
+    applyUsage(report);
+    applyTables(report, peer);
     for (const v1::Crash &crash : report.crashes())
         m_state.crashes.reported({ crash.fingerprint(), crash.server() }, now);
     if (report.holds_lease())
-        m_hooks.holderHeard();
+        m_hooks.holderReported();
 }
 
 void LoadExchange::handleReport(const v1::LoadReport &report, v1::LoadReport *reply)
 {
     const SteadyTime begun = m_state.clock.steadyNow();
-    take(report);
+    processReport(report);
     if (reply != nullptr)
         *reply = reportFor(report.instance(), false);
     ++m_state.loopWork.reports;
@@ -410,7 +411,7 @@
 {
     const SteadyTime now = m_state.clock.steadyNow();
     for (auto &[name, peer] : m_peers) {
-        if (peer.silent || now - peer.heard < SilentAfter)
+        if (peer.silent || now - peer.lastReportAt < SilentAfter)
             continue;
         peer.silent = true;
         m_state.peerLoads.forget(name);
--- a/src/snipestall/gateway/load_claim.hpp
+++ b/src/snipestall/gateway/load_guard.hpp
@@ -6,11 +6,11 @@
 
 namespace snipestall::gateway {
 
-/// Counts one request at a backend server for as long as it lives.
-class LoadClaim
+/// Counts one request in the load of a backend server for as long as the guard exists.
+class LoadGuard
 {
 public:
-    LoadClaim(serving::ServerStatePtr server, double pendingTokens, double heldTokens)
+    LoadGuard(serving::ServerStatePtr server, double pendingTokens, double heldTokens)
         : m_server(std::move(server))
         , m_pendingTokens(pendingTokens)
         , m_heldTokens(heldTokens)
@@ -20,17 +20,17 @@
         m_server->own.heldTokens += m_heldTokens;
     }
 
-    LoadClaim(const LoadClaim &) = delete;
-    LoadClaim &operator=(const LoadClaim &) = delete;
+    LoadGuard(const LoadGuard &) = delete;
+    LoadGuard &operator=(const LoadGuard &) = delete;
 
-    ~LoadClaim()
+    ~LoadGuard()
     {
         --m_server->own.inFlight;
         m_server->own.heldTokens -= m_heldTokens;
         promptRead();
     }
 
-    /// The first token came: the prompt waits no longer.
+    /// Removes the prompt from the pending tokens when the first token has arrived.
     void promptRead() { m_server->own.pendingTokens -= std::exchange(m_pendingTokens, 0); }
 
 private:
--- a/src/snipestall/gateway/loop_watch.cpp
+++ b/src/snipestall/gateway/loop_watch.cpp
@@ -19,8 +19,8 @@
 
 namespace {
 
-/// Bounds the lines of a process that stays late.
-constexpr std::chrono::milliseconds ReportEvery { 1000 };
+/// Limits the number of log lines of a process that stays late.
+constexpr std::chrono::milliseconds ReportInterval { 1000 };
 
 } // namespace
 
@@ -41,7 +41,7 @@
         co_await wire::sleepFor(LoopLag::Tick);
         const SteadyTime now = m_state.clock.steadyNow();
         m_state.loopLag.ticked(due, now);
-        m_state.metrics.loopLate(m_state.loopLag.last());
+        m_state.metrics.recordLoopDelay(m_state.loopLag.last());
         report(now);
     }
 }
@@ -50,7 +50,7 @@
 {
     if (now < m_nextReport)
         return;
-    m_nextReport = now + ReportEvery;
+    m_nextReport = now + ReportInterval;
     const auto worst = m_state.loopLag.takeWorst();
     const LoopWork work = std::exchange(m_state.loopWork, {});
     if (worst < LoopLag::LateAfter)
@@ -60,7 +60,7 @@
                { "requests", std::to_string(m_state.requestsInFlight) },
                { "requests_read", std::to_string(work.requestsRead) },
                { "reports", std::to_string(work.reports) },
-               { "reports_ms", std::to_string(inMillis(work.reportTime)) },
+               { "reports_ms", std::to_string(toMillis(work.reportTime)) },
                { "rows", std::to_string(work.rows) } });
 }
 
--- a/src/snipestall/gateway/relay_text.hpp
+++ b/src/snipestall/gateway/relay_text.hpp
@@ -8,19 +8,20 @@
 
 namespace snipestall::gateway {
 
-/// When to come back after a refusal for want of a server: about as long as a restart takes.
+/// Retry time after a refusal because no server is available: about the duration of a restart.
 inline constexpr std::chrono::milliseconds RetryAfterNoServer { 700 };
 
-/// Another instance takes the caller's new connection at once.
+/// Retry time after a refusal because of a shutdown. It is short, because another instance accepts
+/// the caller's new connection at once.
 inline constexpr std::chrono::milliseconds RetryAfterShutdown { 50 };
 
-inline std::int64_t inMillis(SteadyTime::duration time)
+inline std::int64_t toMillis(SteadyTime::duration time)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
 }
 
-/// A count that is kept as a fraction, for a log line.
-inline std::string wholeText(double number)
+/// Formats a fractional count as an integer for a log line.
+inline std::string integerText(double number)
 {
     return std::to_string(static_cast<std::int64_t>(number));
 }
--- a/src/snipestall/gateway/report_book.cpp
+++ b/src/snipestall/gateway/report_book.cpp
@@ -51,26 +51,26 @@
     return use;
 }
 
-void ReportBook::Series::take(const Totals &totals, bool first, SteadyTime now,
-                              const std::vector<Totals *> &sums)
+void ReportBook::Series::update(const Totals &totals, bool first, SteadyTime now,
+                                const std::vector<Totals *> &sums)
 {
     for (const auto &[name, value] : totals) {
-        const double growth = first ? 0 : std::max(0.0, value - seen[name]);
-        grown[name] += growth;
+        const double growth = first ? 0 : std::max(0.0, value - lastTotals[name]);
+        totalGrowth[name] += growth;
         for (Totals *sum : sums)
             (*sum)[name] += growth;
-        rates[name].add(growth, GrownOver, now);
-        seen[name] = value;
+        rates[name].add(growth, GrowthAveragedOver, now);
+        lastTotals[name] = value;
     }
 }
 
-double ReportBook::Series::rateAt(const std::string &name, SteadyTime heard) const
+double ReportBook::Series::rateAt(const std::string &name, SteadyTime lastReportAt) const
 {
     const auto rate = rates.find(name);
-    return rate == rates.end() ? 0 : rate->second.at(GrownOver, heard);
+    return rate == rates.end() ? 0 : rate->second.at(GrowthAveragedOver, lastReportAt);
 }
 
-void ReportBook::take(const v1::LoadReport &report, SteadyTime now)
+void ReportBook::addReport(const v1::LoadReport &report, SteadyTime now)
 {
     if (report.for_member())
         forgetOtherHubs(report.instance());
@@ -78,14 +78,15 @@
     const bool first = source.series != report.series();
     subtractServers(source);
     if (source.member != report.to_hub() || source.report.for_member() != report.for_member()) {
-        // It speaks for others than before; those are summed up elsewhere from now on.
+        // The reports of the source cover other instances than before, so other sums include it
+        // from now on.
         for (SourceSums *sums : sumsOf(source))
             subtractGrowth(source, *sums);
-        source.use.grown.clear();
-        source.asked.grown.clear();
-        source.work.grown.clear();
+        source.use.totalGrowth.clear();
+        source.asked.totalGrowth.clear();
+        source.work.totalGrowth.clear();
     }
-    source.heard = now;
+    source.lastReportAt = now;
     source.series = report.series();
     source.member = report.to_hub();
     source.report = report;
@@ -99,16 +100,16 @@
         work.push_back(&sums->work);
         addServers(report, 1, *sums);
     }
-    source.use.take(useOf(report), first, now, use);
-    source.asked.take(askedOf(report), first, now, asked);
-    source.work.take(workOf(report), first, now, work);
-    dropSilentLoads(now);
+    source.use.update(useOf(report), first, now, use);
+    source.asked.update(askedOf(report), first, now, asked);
+    source.work.update(workOf(report), first, now, work);
+    dropExpiredLoads(now);
 }
 
 std::vector<ReportBook::SourceSums *> ReportBook::sumsOf(const Source &source)
 {
-    // What a hub told this instance as its member stands for the whole fleet, those included that
-    // speak for themselves since this instance has become a hub.
+    // A report that a hub sent to this instance as its member covers the whole fleet, including
+    // instances that have reported for themselves since this instance became a hub.
     if (source.report.for_member())
         return {};
     if (source.member)
@@ -136,19 +137,19 @@
         addServers(source.report, -1, *sums);
 }
 
-void ReportBook::dropSilentLoads(SteadyTime now)
+void ReportBook::dropExpiredLoads(SteadyTime now)
 {
     for (auto &[name, source] : m_sources) {
-        if (now - source.heard > LoadsKeptFor)
+        if (now - source.lastReportAt > LoadsKeptFor)
             subtractServers(source);
     }
 }
 
 void ReportBook::subtractGrowth(const Source &source, SourceSums &sums)
 {
-    addTotals(source.use.grown, -1, sums.use);
-    addTotals(source.asked.grown, -1, sums.asked);
-    addTotals(source.work.grown, -1, sums.work);
+    addTotals(source.use.totalGrowth, -1, sums.use);
+    addTotals(source.asked.totalGrowth, -1, sums.asked);
+    addTotals(source.work.totalGrowth, -1, sums.work);
 }
 
 void ReportBook::forgetOtherHubs(const std::string &hub)
@@ -161,50 +162,52 @@
 const ReportBook::Source *ReportBook::liveHub(SteadyTime now) const
 {
     const auto found = std::find_if(m_sources.begin(), m_sources.end(), [now](const auto &entry) {
-        return entry.second.report.for_member() && now - entry.second.heard <= HeardWithin;
+        return entry.second.report.for_member()
+            && now - entry.second.lastReportAt <= ReachableWithin;
     });
     return found == m_sources.end() ? nullptr : &found->second;
 }
 
-bool ReportBook::isCovered(const v1::LoadReport &report, SteadyTime now) const
+bool ReportBook::isCoveredByHub(const v1::LoadReport &report, SteadyTime now) const
 {
     return !report.for_member() && liveHub(now) != nullptr;
 }
 
 void ReportBook::addSource(const Source &source, SteadyTime now, v1::LoadReport &report,
-                           Unheard &unheard)
+                           LateUse &lateUse)
 {
-    if (now - source.heard > CountedFor)
+    if (now - source.lastReportAt > CountedFor)
         return;
-    addUnheard(source, now, unheard);
+    addLateUse(source, now, lateUse);
     report.set_instances(report.instances() + source.report.instances());
-    if (source.report.holds_lease() && now - source.heard <= LeaseHeardWithin)
+    if (source.report.holds_lease() && now - source.lastReportAt <= LeaseReportedWithin)
         report.set_holds_lease(true);
-    if (now - source.heard <= HeardWithin)
+    if (now - source.lastReportAt <= ReachableWithin)
         report.set_heard_instances(report.heard_instances() + source.report.heard_instances());
 }
 
-void ReportBook::addUnheard(const Source &source, SteadyTime now, Unheard &unheard)
+void ReportBook::addLateUse(const Source &source, SteadyTime now, LateUse &lateUse)
 {
-    const auto silent = std::min<SteadyTime::duration>(now - source.heard, HeardWithin);
-    const bool isLate = silent > ReportsWithin;
+    const auto silent = std::min<SteadyTime::duration>(now - source.lastReportAt, ReachableWithin);
+    const bool isLate = silent > OnTimeWithin;
     const std::chrono::duration<double> silence = isLate ? silent : SteadyTime::duration::zero();
     for (const v1::CustomerUse &use : source.report.customers()) {
-        // Nearly always so; a hub adds up all customers of all its sources for each member.
+        // This is the usual case. The shortcut matters because a hub sums all customers of all its
+        // sources for each member.
         if (!isLate && use.unheard_units() <= 0 && use.unheard_asked_per_s() <= 0)
             continue;
         const std::string &customer = use.customer();
-        unheard.use[customer] +=
-            use.unheard_units() + source.use.rateAt(customer, source.heard) * silence.count();
-        if (now - source.heard > HeardWithin)
+        lateUse.use[customer] += use.unheard_units()
+            + source.use.rateAt(customer, source.lastReportAt) * silence.count();
+        if (now - source.lastReportAt > ReachableWithin)
             continue;
-        unheard.asked[customer] += use.unheard_asked_per_s();
+        lateUse.asked[customer] += use.unheard_asked_per_s();
         if (isLate)
-            unheard.asked[customer] += source.asked.rateAt(customer, source.heard);
+            lateUse.asked[customer] += source.asked.rateAt(customer, source.lastReportAt);
     }
 }
 
-void ReportBook::write(const SourceSums &sums, const Unheard &unheard, v1::LoadReport &report)
+void ReportBook::write(const SourceSums &sums, const LateUse &lateUse, v1::LoadReport &report)
 {
     report.clear_servers();
     report.clear_customers();
@@ -222,9 +225,9 @@
         entry->set_units(units);
         const auto asked = sums.asked.find(customer);
         entry->set_asked(asked == sums.asked.end() ? units : asked->second);
-        if (const auto used = unheard.use.find(customer); used != unheard.use.end())
+        if (const auto used = lateUse.use.find(customer); used != lateUse.use.end())
             entry->set_unheard_units(used->second);
-        if (const auto rate = unheard.asked.find(customer); rate != unheard.asked.end())
+        if (const auto rate = lateUse.asked.find(customer); rate != lateUse.asked.end())
             entry->set_unheard_asked_per_s(rate->second);
     }
     for (const auto &[service, seconds] : sums.work) {
@@ -243,8 +246,9 @@
         return report;
     const auto known = m_sources.find(receiver);
     const bool toMember = known != m_sources.end() && known->second.member;
-    // What is summed up for a member is another series of totals than that for a hub, and another
-    // one when the member comes back: what it took meanwhile it has told another hub.
+    // The sums for a member are another series of totals than the sums for a hub. They also begin a
+    // new series when the member returns, because in between it has reported its use to another
+    // hub.
     if (toMember)
         report.set_series(own.series() + known->second.series);
     report.set_for_member(toMember);
@@ -259,17 +263,17 @@
     addTotals(askedOf(own), 1, sums.asked);
     addTotals(workOf(own), 1, sums.work);
     addServers(own, 1, sums);
-    Unheard unheard;
+    LateUse lateUse;
     for (const auto &[name, source] : m_sources) {
         if (source.report.for_member())
             continue;
         if (name == receiver || !(toMember || source.member))
             continue;
-        if (source.loadsCounted && now - source.heard > LoadsKeptFor)
+        if (source.loadsCounted && now - source.lastReportAt > LoadsKeptFor)
             addServers(source.report, -1, sums);
-        addSource(source, now, report, unheard);
+        addSource(source, now, report, lateUse);
     }
-    write(sums, unheard, report);
+    write(sums, lateUse, report);
     return report;
 }
 
@@ -279,7 +283,7 @@
         return 1 + hub->report.instances();
     std::size_t count = 1;
     for (const auto &[name, source] : m_sources) {
-        if (now - source.heard <= CountedFor)
+        if (now - source.lastReportAt <= CountedFor)
             count += source.report.instances();
     }
     return count;
@@ -288,7 +292,7 @@
 bool ReportBook::hasMembers(SteadyTime now) const
 {
     return std::any_of(m_sources.begin(), m_sources.end(), [now](const auto &entry) {
-        return entry.second.member && now - entry.second.heard <= LoadsKeptFor;
+        return entry.second.member && now - entry.second.lastReportAt <= LoadsKeptFor;
     });
 }
 
