--- a/src/snipestall/gateway/request_relay.cpp
+++ b/src/snipestall/gateway/request_relay.cpp
@@ -1,13 +1,13 @@
 #include "snipestall/gateway/request_relay.hpp"
 
-#include "load_claim.hpp"
+#include "load_guard.hpp"
 #include "platform/server_header.hpp"
 #include "relay_text.hpp"
 #include "snipestall/base/event_catalogue.hpp"
 #include "snipestall/base/log.hpp"
 #include "snipestall/base/rendezvous.hpp"
 #include "snipestall/gateway/gateway_state.hpp"
-#include "snipestall/gateway/server_fate.hpp"
+#include "snipestall/gateway/server_probe.hpp"
 #include "snipestall/wire/signal.hpp"
 
 #include <boost/asio/co_spawn.hpp>
@@ -29,19 +29,19 @@
 
 namespace {
 
-/// Sends beyond the runs that a route allows: a server that says it did not run a request, or
-/// that can't be reached, has not used an attempt up, but the search must end.
-constexpr int MostRejections = 3;
-/// A server of the same region accepts a connection within some round trips; the kernel sends a
-/// lost opening packet again after a second.
+/// Sends allowed beyond the attempt limit of a route. A server that reports that it did not run a
+/// request, or that can't be reached, uses up no attempt, but the search for a server must end.
+constexpr int MaxRejections = 3;
+/// A server of the same region accepts a connection within a few round trips. The kernel repeats a
+/// lost opening packet after one second.
 constexpr milliseconds ConnectTimeout { 400 };
-/// A server that ended refuses a connection within some round trips; one behind a partition does
-/// not, and a caller waits for the repeat.
-constexpr milliseconds FateWait { 50 };
-constexpr milliseconds FateTick { 2 };
-/// In which what another instance saw is told here: two of the exchange's intervals.
-constexpr milliseconds ReportWait { 400 };
-constexpr unsigned FirstNoSuccess = 300;
+/// A server that has ended refuses a connection within a few round trips. A server behind a
+/// partition does not, and the caller waits for the repeat meanwhile.
+constexpr milliseconds CrashEvidenceWait { 50 };
+constexpr milliseconds CrashEvidenceTick { 2 };
+/// Two intervals of the exchange, within which the observations of other instances reach this one.
+constexpr milliseconds PeerReportWait { 400 };
+constexpr unsigned FirstNonSuccessStatus = 300;
 constexpr int LowestPriority = 9;
 
 std::string secondsText(milliseconds time)
@@ -53,7 +53,7 @@
 
 } // namespace
 
-RequestRelay::RequestRelay(GatewayState &state, std::shared_ptr<CallerLink> caller)
+RequestRelay::RequestRelay(GatewayState &state, std::shared_ptr<CallerConnection> caller)
     : m_state(state)
     , m_caller(std::move(caller))
     , m_answer(*m_caller)
@@ -69,9 +69,9 @@
     m_caller->stopWatching();
 }
 
-CallerLink::Answer RequestRelay::ownAnswer(unsigned status) const
+CallerConnection::Answer RequestRelay::ownAnswer(unsigned status) const
 {
-    CallerLink::Answer answer;
+    CallerConnection::Answer answer;
     answer.result(status);
     answer.version(m_caller->request().version());
     platform::markOwnAnswer(m_header.attemptId, answer);
@@ -79,14 +79,14 @@
     return answer;
 }
 
-CallerLink::Answer RequestRelay::refusal(unsigned status, milliseconds retryAfter) const
+CallerConnection::Answer RequestRelay::refusal(unsigned status, milliseconds retryAfter) const
 {
-    CallerLink::Answer answer = ownAnswer(status);
+    CallerConnection::Answer answer = ownAnswer(status);
     answer.set(http::field::retry_after, secondsText(retryAfter));
     return answer;
 }
 
-Task<void> RequestRelay::answer(CallerLink::Answer answer, const char *reason)
+Task<void> RequestRelay::answer(CallerConnection::Answer answer, const char *reason)
 {
     const unsigned status = answer.result_int();
     if (m_state.draining())
@@ -99,28 +99,28 @@
 void RequestRelay::logEnd(unsigned status, const char *reason) const
 {
     const auto passed = m_state.clock.steadyNow() - m_received;
-    m_state.metrics.ended(status, passed);
+    m_state.metrics.recordRequestEnd(status, passed);
     logEvent(events::GatewayRequestEnded,
              { { "attempt", m_header.attemptId },
                { "status", std::to_string(status) },
                { "reason", reason },
                { "route", m_route == nullptr ? "" : m_route->name },
                { "customer", m_customer == nullptr ? "" : m_customer->name },
-               { "units", m_customer == nullptr ? "" : wholeText(quotaUnits()) },
+               { "units", m_customer == nullptr ? "" : integerText(quotaUnits()) },
                { "config", m_catalogue ? std::to_string(m_catalogue->version()) : "none" },
                { "runs", std::to_string(m_runs) },
                { "sends", std::to_string(m_sends) },
-               { "ms", std::to_string(inMillis(passed)) } });
+               { "ms", std::to_string(toMillis(passed)) } });
 }
 
-void RequestRelay::giveUp()
+void RequestRelay::cancel()
 {
-    m_givenUp = true;
+    m_cancelled = true;
     if (m_call != nullptr)
         m_call->abort();
 }
 
-void RequestRelay::logCut() const
+void RequestRelay::logUnanswered() const
 {
     logEvent(events::RequestCut,
              { { "attempt", m_header.attemptId },
@@ -128,18 +128,18 @@
                { "runs", std::to_string(m_runs) },
                { "sends", std::to_string(m_sends) },
                { "answer_begun", m_answer.begun() ? "yes" : "no" },
-               { "ms", std::to_string(inMillis(m_state.clock.steadyNow() - m_received)) } });
+               { "ms", std::to_string(toMillis(m_state.clock.steadyNow() - m_received)) } });
 }
 
 Task<bool> RequestRelay::run()
 {
     m_header = platform::readCallerHeader(m_caller->request());
     m_keepAlive = m_caller->request().keep_alive();
-    m_caller->watchLeaving([this] { callerLeft(); });
+    m_caller->watchForDisconnect([this] { handleCallerLeft(); });
     co_await awaitStart();
-    m_callerGone |= m_caller->hasLeft();
+    m_callerGone |= m_caller->hasDisconnected();
     if (m_callerGone)
-        noteCallerLeft();
+        recordCallerLeft();
     else if (co_await admit())
         co_await serve();
     co_return m_keepAlive && !m_callerGone;
@@ -147,26 +147,26 @@
 
 bool RequestRelay::maySend(const serving::ServerState &server)
 {
-    m_callerGone |= m_caller->hasLeft();
-    // The run that was moved to a server is there already.
+    m_callerGone |= m_caller->hasDisconnected();
+    // A run that was moved to a server is already there.
     const bool serves = server.takesWork() || !m_memoryFrom.empty();
-    return serves && !m_callerGone && !m_givenUp;
+    return serves && !m_callerGone && !m_cancelled;
 }
 
-bool RequestRelay::timeIsUp() const
+bool RequestRelay::deadlinePassed() const
 {
-    return m_state.clock.steadyNow() >= m_until;
+    return m_state.clock.steadyNow() >= m_deadline;
 }
 
-bool RequestRelay::mayTryAgain(AttemptEnd last)
+bool RequestRelay::mayRetry(AttemptEnd last)
 {
-    if (last == AttemptEnd::Final || last == AttemptEnd::TimedOut || m_callerGone || m_givenUp
-        || timeIsUp())
+    if (last == AttemptEnd::Final || last == AttemptEnd::TimedOut || m_callerGone || m_cancelled
+        || deadlinePassed())
         return false;
-    // The rest of a body that is passed on as it comes is nowhere but in its own run.
-    if (m_answer.state() == CallerAnswer::State::SpillingBody)
+    // The rest of a body that is passed on as it arrives can only come from its own run.
+    if (m_answer.state() == CallerAnswer::State::ForwardingBody)
         return false;
-    if (m_sends >= m_route->attemptLimit + MostRejections)
+    if (m_sends >= m_route->attemptLimit + MaxRejections)
         return false;
     if (m_state.crashes.blocked(m_fingerprint, m_state.clock.steadyNow()))
         return false;
@@ -185,38 +185,39 @@
             break;
         last = co_await attempt(*placed);
         while (last == AttemptEnd::Moved)
-            last = co_await attempt(takeMove());
-        co_await awaitFate();
-    } while (mayTryAgain(last));
+            last = co_await attempt(finishMove());
+        co_await awaitCrashEvidence();
+    } while (mayRetry(last));
     if (last == AttemptEnd::Final || m_answer.ended())
         co_return;
     co_await finishUnserved(last);
 }
 
-void RequestRelay::noteBreak(const serving::ServerStatePtr &server)
+void RequestRelay::handleConnectionLoss(const serving::ServerStatePtr &server)
 {
-    if (m_callerGone || m_givenUp)
+    if (m_callerGone || m_cancelled)
         return;
     const SteadyTime now = m_state.clock.steadyNow();
     m_state.servers.lost(*server, now);
-    // A server that had notice was taken away; no request is to blame for that.
+    // A server with a notice was reclaimed, so no request caused its end.
     if (server->info.leaving)
         return;
-    m_brokeAt = server->key;
+    m_lastLostServer = server->key;
     if (m_state.crashes.broke(m_fingerprint, server->key, now))
-        boost::asio::co_spawn(m_state.io, lookForEnd(m_state, server), boost::asio::detached);
+        boost::asio::co_spawn(m_state.io, probeServerEnd(m_state, server), boost::asio::detached);
 }
 
-Task<void> RequestRelay::awaitFate()
+Task<void> RequestRelay::awaitCrashEvidence()
 {
-    const SteadyTime until = m_state.clock.steadyNow() + FateWait;
-    while (m_state.crashes.inDoubt(m_brokeAt) && m_state.clock.steadyNow() < until)
-        co_await wire::sleepFor(FateTick);
-    // Failure: copies of a request that ends its server meet at the same one, at several instances;
-    // one of them runs there, the others find nobody listening and go on to one server more each.
-    // So one that has broken a server already and is refused by the next hears its peers first.
-    if (m_turnedAway && m_state.crashes.hasEndedServer(m_fingerprint))
-        co_await wire::sleepFor(ReportWait);
+    const SteadyTime until = m_state.clock.steadyNow() + CrashEvidenceWait;
+    while (m_state.crashes.inDoubt(m_lastLostServer) && m_state.clock.steadyNow() < until)
+        co_await wire::sleepFor(CrashEvidenceTick);
+    // Failure: copies of a request that ends its server reach the same server through several
+    // instances. One copy runs there; the others find its port closed and go on to another server
+    // each. So a request that has already ended a server, and is rejected by the next one, first
+    // waits for the reports of the peers.
+    if (m_connectionRejected && m_state.crashes.hasEndedServer(m_fingerprint))
+        co_await wire::sleepFor(PeerReportWait);
 }
 
 Task<void> RequestRelay::finishUnserved(AttemptEnd last)
@@ -224,11 +225,11 @@
     if (!m_maybeRan && m_customer != nullptr)
         m_state.quotas.giveBack(m_customer->name, quotaUnits());
     if (m_callerGone) {
-        noteCallerLeft();
+        recordCallerLeft();
         co_return;
     }
     if (m_answer.begun()) {
-        breakOff("stream-broken");
+        abortAnswer("stream-broken");
         co_return;
     }
     if (m_failure) {
@@ -238,7 +239,7 @@
     }
     if (!m_maybeRan) {
         ++m_state.counters.refused;
-        if (m_givenUp)
+        if (m_cancelled)
             co_await answer(refusal(503, RetryAfterShutdown), "shutting-down");
         else
             co_await answer(refusal(503, RetryAfterNoServer), "no-server");
@@ -248,7 +249,7 @@
     const bool late = last == AttemptEnd::TimedOut;
     const bool blocked = m_state.crashes.blocked(m_fingerprint, m_state.clock.steadyNow());
     const char *reason = late ? "timeout"
-        : m_givenUp           ? "shutting-down"
+        : m_cancelled         ? "shutting-down"
         : blocked             ? "ends-servers"
                               : "answer-lost";
     co_await answer(ownAnswer(late ? 504 : 502), reason);
@@ -256,7 +257,7 @@
 
 BackendCall::Request RequestRelay::serverRequest(const serving::ServerState &server) const
 {
-    const CallerLink::Request &from = m_caller->request();
+    const CallerConnection::Request &from = m_caller->request();
     BackendCall::Request request;
     request.method_string(from.method_string());
     request.target(from.target());
@@ -265,7 +266,7 @@
     call.expectedServer = server.info.id;
     if (m_customer != nullptr)
         call.customer = m_customer->name;
-    const auto left = m_callerUntil - m_state.clock.steadyNow();
+    const auto left = m_callerDeadline - m_state.clock.steadyNow();
     call.deadline = std::max(std::chrono::duration_cast<milliseconds>(left), milliseconds(1));
     if (m_demand.prompt) {
         const int priority = m_customer != nullptr && m_customer->priority ? *m_customer->priority
@@ -285,17 +286,17 @@
     const serving::ServerStatePtr server = placed.server;
     m_demand.tried.insert(server->key);
     ++m_sends;
-    m_turnedAway = false;
+    m_connectionRejected = false;
     ++m_state.counters.attempts;
     const double held = m_demand.prompt ? m_demand.prompt->promptTokens : 0;
-    LoadClaim load(server, placed.unreadTokens, held);
-    m_load = &load;
+    LoadGuard load(server, placed.unreadTokens, held);
+    m_loadGuard = &load;
     m_sentAt = m_state.clock.steadyNow();
     m_firstByteAt.reset();
-    m_unread = placed.unreadTokens;
+    m_unreadTokens = placed.unreadTokens;
     m_tokensAhead = placed.tokensAhead;
-    if (m_unread > 0)
-        m_state.demand.promptSent(m_demand.service->name, m_unread);
+    if (m_unreadTokens > 0)
+        m_state.demand.promptSent(m_demand.service->name, m_unreadTokens);
     m_state.placement.sent(m_demand, server->key, m_state.clock.steadyNow());
     m_call = std::make_shared<BackendCall>(m_state.io, m_state.backends, m_state.clock, server->key,
                                            server->info.address);
@@ -304,19 +305,19 @@
     watchForStall(server);
     watchForReclaim(server);
     const CallStart start =
-        co_await call->start(std::move(request), m_header.attemptId, ConnectTimeout, m_until,
+        co_await call->start(std::move(request), m_header.attemptId, ConnectTimeout, m_deadline,
                              [this, &server] { return maySend(*server); });
     if (start == CallStart::Answered && !m_route->isStream())
         stopStallWatch();
     AttemptEnd end = AttemptEnd::Failed;
     if (start == CallStart::Answered) {
         server->heardAt = m_state.clock.steadyNow();
-        end = co_await takeAnswer(server);
+        end = co_await handleAnswer(server);
     } else if (start == CallStart::Unwanted) {
         end = AttemptEnd::NotRun;
     } else if (start == CallStart::Unreachable) {
         m_state.servers.lost(*server, m_state.clock.steadyNow());
-        m_turnedAway = call->turnedAway();
+        m_connectionRejected = call->connectionRejected();
         if (call->refused())
             m_state.crashes.refused(server->key, m_state.clock.steadyNow());
         end = AttemptEnd::NotRun;
@@ -324,13 +325,13 @@
         m_maybeRan = true;
         ++m_runs;
         if (start == CallStart::Lost)
-            noteBreak(server);
+            handleConnectionLoss(server);
         end = start == CallStart::TimedOut ? AttemptEnd::TimedOut : AttemptEnd::Failed;
     }
     stopStallWatch();
     stopReclaimWatch();
     m_memoryFrom.clear();
-    m_load = nullptr;
+    m_loadGuard = nullptr;
     m_call.reset();
     if (!m_demand.prompt && start != CallStart::Unwanted)
         m_state.demand.callEnded(m_demand.service->name, m_state.clock.steadyNow() - m_sentAt,
@@ -339,52 +340,52 @@
     logEvent(events::GatewayAttemptEnded,
              { { "attempt", m_header.attemptId },
                { "server", server->info.id },
-               { "unread_tokens", wholeText(placed.unreadTokens) },
-               { "tokens_ahead", wholeText(placed.tokensAhead) },
+               { "unread_tokens", integerText(placed.unreadTokens) },
+               { "tokens_ahead", integerText(placed.tokensAhead) },
                { "in_flight", std::to_string(placed.inFlight) },
-               { "first_byte_ms", std::to_string(inMillis(firstByte)) },
+               { "first_byte_ms", std::to_string(toMillis(firstByte)) },
                { "start", std::to_string(static_cast<int>(start)) },
                { "end", std::to_string(static_cast<int>(end)) } });
     co_return end;
 }
 
-Task<RequestRelay::AttemptEnd> RequestRelay::takeAnswer(const serving::ServerStatePtr &server)
+Task<RequestRelay::AttemptEnd> RequestRelay::handleAnswer(const serving::ServerStatePtr &server)
 {
     const unsigned status = m_call->head().result_int();
-    const auto said = platform::readServerAnswer(status, m_call->head());
-    if (said.wrongServer)
+    const auto parsed = platform::readServerAnswer(status, m_call->head());
+    if (parsed.wrongServer)
         serving::ServerTable::replaced(*server);
-    if (said.notRun) {
-        // Its rest is read so that the connection can be used again.
-        const BodyRead rest = co_await m_call->readBody(m_until);
+    if (parsed.notRun) {
+        // The rest of the answer is read so that the connection can be reused.
+        const BodyRead rest = co_await m_call->readBody(m_deadline);
         if (rest.kind == BodyRead::Kind::Bytes)
-            co_await m_call->readBody(m_until);
+            co_await m_call->readBody(m_deadline);
         co_return AttemptEnd::NotRun;
     }
     m_maybeRan = true;
     ++m_runs;
-    if (!m_answer.canGoOnWith(m_call->head()))
+    if (!m_answer.canContinueWith(m_call->head()))
         co_return co_await dropAnswer(*server);
-    if (status < FirstNoSuccess && m_route->isStream() && said.mayBeEvents)
+    if (status < FirstNonSuccessStatus && m_route->isStream() && parsed.mayBeEvents)
         co_return co_await relayStream(server);
     co_return co_await relayWhole(server);
 }
 
-void RequestRelay::firstByteCame()
+void RequestRelay::handleFirstByte()
 {
     stopStallWatch();
     if (!m_firstByteAt)
         m_firstByteAt = m_state.clock.steadyNow();
-    if (m_load != nullptr) {
-        m_load->promptRead();
-        noteLatency();
-        notePromptRead();
-        m_load = nullptr;
+    if (m_loadGuard != nullptr) {
+        m_loadGuard->promptRead();
+        recordLatency();
+        recordPromptRead();
+        m_loadGuard = nullptr;
     }
-    if (m_counted || m_customer == nullptr || !m_state.trueTime.known())
+    if (m_usageCounted || m_customer == nullptr || !m_state.commonTime.known())
         return;
-    m_counted = true;
-    m_state.usage.began(m_customer->name, m_state.trueTime.at(m_state.clock.steadyNow()));
+    m_usageCounted = true;
+    m_state.usage.began(m_customer->name, m_state.commonTime.at(m_state.clock.steadyNow()));
 }
 
 void RequestRelay::watchForStall(const serving::ServerStatePtr &server)
@@ -394,26 +395,26 @@
     const double rate = m_state.demand.readRate(m_demand.service->name);
     std::chrono::duration<double> predicted { 0 };
     if (rate > 0)
-        predicted = std::chrono::duration<double>((m_tokensAhead + m_unread) / rate);
-    m_stallTicket = m_state.attempts.add({ m_call, server, m_sentAt, predicted });
+        predicted = std::chrono::duration<double>((m_tokensAhead + m_unreadTokens) / rate);
+    m_stallHandle = m_state.attempts.add({ m_call, server, m_sentAt, predicted });
 }
 
 void RequestRelay::stopStallWatch()
 {
-    if (m_stallTicket)
-        m_state.attempts.remove(*std::exchange(m_stallTicket, std::nullopt));
+    if (m_stallHandle)
+        m_state.attempts.remove(*std::exchange(m_stallHandle, std::nullopt));
 }
 
-void RequestRelay::notePromptRead()
+void RequestRelay::recordPromptRead()
 {
-    // Only what found no prompt before it measures how fast the engine reads.
-    if (m_unread <= 0 || m_tokensAhead > 0)
+    // The read rate of the engine can be measured only if no other prompt was ahead.
+    if (m_unreadTokens <= 0 || m_tokensAhead > 0)
         return;
-    m_state.demand.sawPromptRead(m_demand.service->name, m_unread,
+    m_state.demand.sawPromptRead(m_demand.service->name, m_unreadTokens,
                                  m_state.clock.steadyNow() - m_sentAt);
 }
 
-void RequestRelay::noteLatency()
+void RequestRelay::recordLatency()
 {
     if (m_answer.begun() || m_route->targetLatency.count() <= 0)
         return;
@@ -421,27 +422,27 @@
     const std::chrono::duration<double> waited = now - m_received;
     const std::chrono::duration<double> target = m_route->targetLatency;
     m_state.latency.firstByte(m_demand.service->name, waited / target, now);
-    m_state.metrics.firstByte(m_demand.service->name, now - m_received);
+    m_state.metrics.recordFirstByte(m_demand.service->name, now - m_received);
 }
 
-void RequestRelay::noteCallerLeft()
+void RequestRelay::recordCallerLeft()
 {
     ++m_state.counters.callersGone;
     logEnd(0, "caller-left");
 }
 
-void RequestRelay::callerLeft()
+void RequestRelay::handleCallerLeft()
 {
     m_callerGone = true;
     if (m_call != nullptr)
         m_call->abort();
 }
 
-void RequestRelay::breakOff(const char *reason)
+void RequestRelay::abortAnswer(const char *reason)
 {
     ++m_state.counters.failed;
     m_keepAlive = false;
-    m_answer.breakOff();
+    m_answer.abort();
     logEnd(0, reason);
 }
 
--- a/src/snipestall/gateway/request_relay_admission.cpp
+++ b/src/snipestall/gateway/request_relay_admission.cpp
@@ -1,4 +1,4 @@
-// The part of RequestRelay that decides whether a request is served at all.
+// The part of RequestRelay that decides whether a request is admitted.
 
 #include "snipestall/gateway/request_relay.hpp"
 
@@ -22,25 +22,27 @@
 
 namespace {
 
-/// How often a request that waits for the process to have read the store looks again.
+/// Interval at which a request that waits for the first read of the store checks whether it is
+/// done.
 constexpr milliseconds StartTick { 2 };
-/// When to come back to an instance that knows no configuration yet.
+/// Retry time for an instance that has no configuration yet.
 constexpr milliseconds RetryAfterNoConfig { 500 };
-/// Longer than any caller waits: the request is not to come back.
+/// Retry time for a request that ends servers. It is longer than any caller waits, because the
+/// request should not be repeated.
 constexpr std::chrono::seconds RetryAfterCrashes { 60 };
 
-std::string hostOf(const CallerLink::Request &request)
+std::string hostOf(const CallerConnection::Request &request)
 {
     const auto field = request[http::field::host];
     std::string host(field.data(), field.size());
-    // The port is no part of the name.
+    // The port is not part of the host name.
     host = host.substr(0, host.find(':'));
     std::transform(host.begin(), host.end(), host.begin(),
                    [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
     return host;
 }
 
-std::string_view pathOf(const CallerLink::Request &request)
+std::string_view pathOf(const CallerConnection::Request &request)
 {
     const std::string_view target(request.target().data(), request.target().size());
     return target.substr(0, target.find('?'));
@@ -60,8 +62,9 @@
     return route.targets.back().service;
 }
 
-/// What a request is known by when its caller repeats it under another attempt id.
-std::uint64_t fingerprintOf(const CallerLink::Request &request, const serving::Customer *customer)
+/// Identifies a request when its caller repeats it with another attempt id.
+std::uint64_t fingerprintOf(const CallerConnection::Request &request,
+                            const serving::Customer *customer)
 {
     std::string text(request.method_string());
     text.append(" ").append(request.target()).append("\n");
@@ -82,7 +85,8 @@
 
 Task<bool> RequestRelay::admit()
 {
-    const auto refuse = [this](CallerLink::Answer response, const char *reason) -> Task<bool> {
+    const auto refuse = [this](CallerConnection::Answer response,
+                               const char *reason) -> Task<bool> {
         ++m_state.counters.refused;
         co_await answer(std::move(response), reason);
         co_return false;
@@ -93,17 +97,17 @@
         co_return co_await refuse(refusal(503, RetryAfterNoConfig), "no-configuration");
     if (m_header.attemptId.empty())
         co_return co_await refuse(ownAnswer(400), "no-attempt-id");
-    const CallerLink::Request &request = m_caller->request();
+    const CallerConnection::Request &request = m_caller->request();
     m_route = m_catalogue->route(hostOf(request), pathOf(request));
     if (m_route == nullptr)
         co_return co_await refuse(ownAnswer(404), "no-route");
     m_customer = m_catalogue->customerOfKey(m_header.key);
     if (m_customer == nullptr && m_catalogue->hasCustomers() && !m_route->anonymous)
         co_return co_await refuse(ownAnswer(401), "unknown-key");
-    // The request has waited here for about as long as other events do.
+    // The request has been waiting in this process for about as long as other events have.
     const SteadyTime arrived = m_received - m_state.loopLag.last();
-    m_callerUntil = arrived + m_header.deadline.value_or(m_route->timeout);
-    m_until = std::min(m_callerUntil, arrived + m_route->timeout);
+    m_callerDeadline = arrived + m_header.deadline.value_or(m_route->timeout);
+    m_deadline = std::min(m_callerDeadline, arrived + m_route->timeout);
     m_demand.service = m_catalogue->service(pickService(*m_route, m_state.random));
     if (m_demand.service == nullptr)
         co_return co_await refuse(refusal(503, RetryAfterNoServer), "unknown-service");
@@ -123,9 +127,9 @@
     logEvent(events::QuotaRefused,
              { { "attempt", m_header.attemptId },
                { "customer", m_customer->name },
-               { "units", wholeText(quotaUnits()) },
-               { "free", wholeText(verdict.free) },
-               { "rate", wholeText(verdict.rate) },
+               { "units", integerText(quotaUnits()) },
+               { "free", integerText(verdict.free) },
+               { "rate", integerText(verdict.rate) },
                { "retry_after_ms", std::to_string(verdict.retryAfter.count()) } });
     co_return co_await refuse(refusal(429, verdict.retryAfter), "over-quota");
 }
--- a/src/snipestall/gateway/request_relay_answer.cpp
+++ b/src/snipestall/gateway/request_relay_answer.cpp
@@ -1,4 +1,4 @@
-// The part of RequestRelay that passes a backend server's answer on to the caller.
+// The part of RequestRelay that passes the answer of a backend server on to the caller.
 
 #include "snipestall/gateway/request_relay.hpp"
 
@@ -17,34 +17,34 @@
 
 namespace {
 
-/// Bodies of plain answers are held back up to this size, so that one that breaks off can still
-/// be repeated or replaced by a true failure. Bytes.
-constexpr std::size_t MostHeldBytes = 512 * 1024;
-constexpr unsigned FirstFailure = 500;
+/// Size in bytes up to which bodies of plain answers are buffered, so that an answer that is cut
+/// off can still be repeated or replaced by a proper error.
+constexpr std::size_t MaxBufferedBytes = 512 * 1024;
+constexpr unsigned FirstServerErrorStatus = 500;
 
 } // namespace
 
 Task<RequestRelay::AttemptEnd> RequestRelay::dropAnswer(serving::ServerState &server)
 {
-    if (m_call->head().result_int() >= FirstFailure)
+    if (m_call->head().result_int() >= FirstServerErrorStatus)
         server.health.failed();
     std::size_t dropped = 0;
     BodyRead piece;
     do {
-        piece = co_await m_call->readBody(m_until);
+        piece = co_await m_call->readBody(m_deadline);
         dropped += piece.bytes.size();
-    } while (piece.kind == BodyRead::Kind::Bytes && dropped <= MostHeldBytes);
-    // The connection is of use again only if all of the answer has been read.
+    } while (piece.kind == BodyRead::Kind::Bytes && dropped <= MaxBufferedBytes);
+    // The connection can be reused only if the whole answer has been read.
     if (piece.kind != BodyRead::Kind::End)
         m_call->abort();
     co_return piece.kind == BodyRead::Kind::TimedOut ? AttemptEnd::TimedOut : AttemptEnd::Failed;
 }
 
-RequestRelay::AttemptEnd RequestRelay::brokenOff(const BodyRead &piece,
-                                                 const serving::ServerStatePtr &server)
+RequestRelay::AttemptEnd RequestRelay::handleIncompleteAnswer(const BodyRead &piece,
+                                                              const serving::ServerStatePtr &server)
 {
     if (piece.kind != BodyRead::Kind::TimedOut) {
-        noteBreak(server);
+        handleConnectionLoss(server);
         return AttemptEnd::Failed;
     }
     if (!m_callerGone)
@@ -52,7 +52,7 @@
     return AttemptEnd::TimedOut;
 }
 
-void RequestRelay::wholeAnswerCame(serving::ServerState &server)
+void RequestRelay::handleWholeAnswer(serving::ServerState &server)
 {
     m_state.servers.answered(server);
     m_state.crashes.answered(m_fingerprint, m_state.clock.steadyNow());
@@ -60,18 +60,18 @@
 
 Task<RequestRelay::AttemptEnd> RequestRelay::relayWhole(const serving::ServerStatePtr &server)
 {
-    firstByteCame();
+    handleFirstByte();
     const unsigned status = m_call->head().result_int();
-    CallerLink::Answer whole;
+    CallerConnection::Answer whole;
     whole.result(status);
     whole.version(m_caller->request().version());
     whole.reason(m_call->head().reason());
     platform::copyAnswerHeader(m_call->head(), whole);
     while (true) {
-        BodyRead piece = co_await m_call->readBody(m_until);
+        BodyRead piece = co_await m_call->readBody(m_deadline);
         if (piece.kind == BodyRead::Kind::Bytes) {
             whole.body() += piece.bytes;
-            if (whole.body().size() <= MostHeldBytes)
+            if (whole.body().size() <= MaxBufferedBytes)
                 continue;
             if (!m_answer.begun() && !co_await m_answer.beginBody(answerHead()))
                 co_return AttemptEnd::Final;
@@ -82,12 +82,12 @@
         }
         if (piece.kind == BodyRead::Kind::End)
             break;
-        co_return brokenOff(piece, server);
+        co_return handleIncompleteAnswer(piece, server);
     }
-    if (status >= FirstFailure)
+    if (status >= FirstServerErrorStatus)
         server->health.failed();
     else
-        wholeAnswerCame(*server);
+        handleWholeAnswer(*server);
     if (m_answer.begun()) {
         m_keepAlive = co_await m_answer.writePiece(std::move(whole.body()))
             && co_await m_answer.completeBody() && m_keepAlive;
@@ -96,7 +96,7 @@
         co_return AttemptEnd::Final;
     }
     whole.prepare_payload();
-    if (status >= FirstFailure) {
+    if (status >= FirstServerErrorStatus) {
         m_failure = std::move(whole);
         co_return AttemptEnd::Failed;
     }
@@ -119,11 +119,11 @@
     return head;
 }
 
-Task<bool> RequestRelay::passEvents(std::vector<wire::RawEvent> events)
+Task<bool> RequestRelay::forwardEvents(std::vector<wire::RawEvent> events)
 {
     std::string piece;
     for (wire::RawEvent &event : events) {
-        // A resumed run may repeat the event at which it was resumed.
+        // A resumed run may repeat the event after which it was resumed.
         if (event.id && m_lastEvent && *event.id <= *m_lastEvent)
             continue;
         if (event.id)
@@ -132,7 +132,7 @@
     }
     if (piece.empty())
         co_return true;
-    firstByteCame();
+    handleFirstByte();
     if (!m_answer.begun() && !co_await m_answer.beginEvents(answerHead()))
         co_return false;
     co_return co_await m_answer.writePiece(std::move(piece));
@@ -143,24 +143,24 @@
     wire::EventSplitter splitter;
     serving::StreamPace pace;
     while (true) {
-        const BodyRead piece = co_await m_call->readBody(m_until);
+        const BodyRead piece = co_await m_call->readBody(m_deadline);
         if (piece.kind == BodyRead::Kind::Bytes) {
             server->heardAt = m_state.clock.steadyNow();
             pace.event(server->heardAt);
-            if (co_await passEvents(splitter.feed(piece.bytes)))
+            if (co_await forwardEvents(splitter.feed(piece.bytes)))
                 continue;
             m_call->abort();
             m_keepAlive = false;
-            m_answer.breakOff();
+            m_answer.abort();
             co_return AttemptEnd::Final;
         }
-        if (co_await wasMoved())
+        if (co_await awaitMove())
             co_return AttemptEnd::Moved;
         if (piece.kind == BodyRead::Kind::End && splitter.rest().empty())
             break;
-        co_return brokenOff(piece, server);
+        co_return handleIncompleteAnswer(piece, server);
     }
-    wholeAnswerCame(*server);
+    handleWholeAnswer(*server);
     if (const auto pause = pace.median())
         server->speed.sawPause(*pause);
     if (!m_answer.begun() && !co_await m_answer.beginEvents(answerHead()))
--- a/src/snipestall/gateway/request_relay_move.cpp
+++ b/src/snipestall/gateway/request_relay_move.cpp
@@ -1,4 +1,4 @@
-// The part of RequestRelay that moves a running stream away from a server that is taken back.
+// The part of RequestRelay that moves a running stream away from a server that is being reclaimed.
 
 #include "snipestall/gateway/request_relay.hpp"
 
@@ -19,11 +19,12 @@
 
 namespace {
 
-/// Within the time for which a move is begun before its server ends.
+/// Shorter than the time between the begin of a move and the end of its server.
 constexpr milliseconds MoveTimeout { 600 };
 constexpr milliseconds MoveTick { 2 };
 
-/// Owns all that it needs: the request may end while the call is under way.
+/// Takes its arguments by value or shared pointer, because the request may end while the call is in
+/// progress.
 Task<void> callMove(GatewayState &state, std::shared_ptr<StreamMove> move,
                     serving::ServerStatePtr source, std::string attemptId, std::uint64_t lastEvent)
 {
@@ -47,13 +48,13 @@
     const bool movable = m_demand.service->engine && m_demand.service->engine->movesRuns;
     if (!movable || m_route->mayRepeat())
         return;
-    m_streamTicket = m_state.streams.add({ server, [this, server] { beginMove(server); } });
+    m_streamHandle = m_state.streams.add({ server, [this, server] { beginMove(server); } });
 }
 
 void RequestRelay::stopReclaimWatch()
 {
-    if (m_streamTicket)
-        m_state.streams.remove(*std::exchange(m_streamTicket, std::nullopt));
+    if (m_streamHandle)
+        m_state.streams.remove(*std::exchange(m_streamHandle, std::nullopt));
 }
 
 void RequestRelay::beginMove(const serving::ServerStatePtr &source)
@@ -63,7 +64,7 @@
     if (!m_lastEvent || m_callerGone || !m_state.retries.repeat(m_demand.service->name, now))
         return;
     serving::Demand demand = m_demand;
-    // It goes on in any data centre: what matters is room.
+    // The run may continue in any data centre, because only free capacity matters.
     demand.mayRepeat = true;
     const auto placed = m_state.placement.choose(demand, now);
     if (!placed)
@@ -75,14 +76,14 @@
                           boost::asio::detached);
 }
 
-Task<bool> RequestRelay::wasMoved()
+Task<bool> RequestRelay::awaitMove()
 {
     while (m_move != nullptr && !m_move->ended)
         co_await wire::sleepFor(MoveTick);
     co_return m_move != nullptr && m_move->moved;
 }
 
-serving::Placed RequestRelay::takeMove()
+serving::Placed RequestRelay::finishMove()
 {
     const auto move = std::exchange(m_move, nullptr);
     m_memoryFrom = move->moved->memoryFrom;
--- a/src/snipestall/gateway/server_fate.cpp
+++ b/src/snipestall/gateway/server_probe.cpp
@@ -1,4 +1,4 @@
-#include "snipestall/gateway/server_fate.hpp"
+#include "snipestall/gateway/server_probe.hpp"
 
 #include "snipestall/base/event_catalogue.hpp"
 #include "snipestall/base/log.hpp"
@@ -21,13 +21,13 @@
 
 namespace {
 
-/// A server of the same region takes or refuses a connection within some round trips.
+/// A server of the same region accepts or refuses a connection within a few round trips.
 constexpr milliseconds ConnectTimeout { 400 };
-/// Before each look. A process that ends may close its connections some tens of milliseconds
-/// before its listener, so that the first look can find it listening.
+/// Pause before each probe. A process that ends may close its connections some tens of milliseconds
+/// before its listener, so the first probe may still be accepted.
 constexpr std::array<milliseconds, 2> Pauses { milliseconds(0), milliseconds(100) };
 
-/// True only if nobody listens there; silence may as well be a partition.
+/// Returns true only if the connection is refused. A missing answer may also be due to a partition.
 Task<bool> refusesConnections(asio::io_context &io, wire::Endpoint address)
 {
     boost::beast::tcp_stream stream(io);
@@ -40,7 +40,7 @@
 
 } // namespace
 
-Task<void> lookForEnd(GatewayState &state, serving::ServerStatePtr server)
+Task<void> probeServerEnd(GatewayState &state, serving::ServerStatePtr server)
 {
     for (const milliseconds pause : Pauses) {
         if (pause.count() > 0)
--- a/src/snipestall/gateway/store_follower.cpp
+++ b/src/snipestall/gateway/store_follower.cpp
@@ -24,23 +24,25 @@
 
 namespace {
 
-/// What the answer of a long poll may take beyond the wait that was asked for.
+/// Time allowed for the answer of a long poll beyond the requested wait.
 constexpr milliseconds AnswerSlack { 700 };
 constexpr milliseconds ReadTimeout { 1500 };
-/// Least time from one poll to the next: changes that come in a row are read together. Each would
-/// otherwise end the polls of all readers by itself. Far below what a notice of leaving may take.
+/// Minimum time from one poll to the next, so that changes in quick succession are read together.
+/// Otherwise each change would end the polls of all readers. It is far shorter than the time
+/// allowed for passing on a notice of leaving.
 constexpr milliseconds PollSpacing { 200 };
-/// How often an instance that does not read looks whether it has to.
+/// Interval at which an instance that does not read the store checks whether it must.
 constexpr milliseconds FollowTick { 50 };
 constexpr milliseconds ReportDelay { 700 };
-/// Pause after a failed call, doubled by chance so that instances don't call in step.
+/// Pause after a failed call. A random part of up to the same length is added so that instances do
+/// not call at the same time.
 constexpr milliseconds RetryPause { 150 };
-/// Clocks here and at the servers may be minutes apart, and step.
+/// The clocks of this instance and of the servers may differ by minutes, and may jump.
 constexpr std::chrono::hours LargestClockError { 1 };
-/// Faulty rows are logged once each; after this many different ones again.
-constexpr std::size_t MostFaultyLogged = 200;
+/// Faulty rows are logged once each. After this many different ones they are logged again.
+constexpr std::size_t MaxFaultyLogged = 200;
 
-/// By serving::Listing::Kind.
+/// Log values, indexed by serving::Listing::Kind.
 constexpr std::array<const char *, 4> ListingNames { "added", "changed", "ignored", "returning" };
 
 std::int64_t bornMillis(const serving::BackendServer &server)
@@ -69,30 +71,30 @@
 
 milliseconds StoreFollower::pollWait() const
 {
-    // A connection that has gone silent for good is noticed only when the wait is over; a third of
-    // the time that an instance may take to come into touch again leaves room for a new one.
+    // A connection that no longer responds is noticed only when the wait is over. A third of the
+    // time within which an instance must be in contact again leaves time to open a new connection.
     return m_state.settings.bounds.contact / 3;
 }
 
 bool StoreFollower::mustPoll(const Feed &feed) const
 {
-    // Besides the readers' wait, a report needs some intervals to come round.
-    return m_reader || !feed.read
+    // In addition to the wait of the readers, a report needs some intervals to reach this instance.
+    return m_reader || !feed.loaded
         || feed.copy.age(m_state.clock.steadyNow()) > pollWait() + ReportDelay;
 }
 
-void StoreFollower::peerCopy(const TableChanges &changes, const std::string &table,
-                             milliseconds age)
+void StoreFollower::applyPeerChanges(const TableChanges &changes, const std::string &table,
+                                     milliseconds age)
 {
     Feed *feed = table == m_config.copy.table() ? &m_config : &m_list;
-    if (feed->copy.table() != table || !feed->read)
+    if (feed->copy.table() != table || !feed->loaded)
         return;
     if (feed == &m_list && changes.to > feed->copy.version())
         m_lapse.heard(feed->copy.age(m_state.clock.steadyNow()), m_state.clock.steadyNow());
     const std::int64_t known = feed->copy.version();
     if (feed->copy.advanceFromPeer(changes)) {
         for (const platform::StoredRow &row : changes.rows) {
-            // What this copy holds already would undo what came after it.
+            // A change that this copy already contains would overwrite a later one.
             if (row.version > known)
                 (this->*feed->change)(row);
         }
@@ -108,7 +110,7 @@
             continue;
         }
         const SteadyTime begun = m_state.clock.steadyNow();
-        if (co_await step(feed)) {
+        if (co_await pollOnce(feed)) {
             const auto spent =
                 std::chrono::duration_cast<milliseconds>(m_state.clock.steadyNow() - begun);
             if (spent < PollSpacing)
@@ -121,9 +123,9 @@
     }
 }
 
-Task<bool> StoreFollower::step(Feed &feed)
+Task<bool> StoreFollower::pollOnce(Feed &feed)
 {
-    if (!feed.read) {
+    if (!feed.loaded) {
         feed.copy.beginRead(m_state.clock.steadyNow());
         const auto rows = co_await m_store.read(feed.copy.table(), std::string(), ReadTimeout);
         if (!rows) {
@@ -136,14 +138,14 @@
         for (platform::StoredRow &removed : (this->*feed.snapshot)(*rows))
             known.push_back(std::move(removed));
         feed.copy.readWhole(known, rows->storeVersion);
-        feed.read = true;
+        feed.loaded = true;
         co_return true;
     }
     const milliseconds wait = pollWait();
     const auto rows =
         co_await m_store.changes(feed.copy.table(), feed.copy.version(), wait, wait + AnswerSlack);
     if (!rows && rows.error().kind == ErrorKind::NotFound) {
-        feed.read = false;
+        feed.loaded = false;
         co_return true;
     }
     if (!rows) {
@@ -152,7 +154,7 @@
     }
     answered(feed, rows->storeTime);
     logSkipped(feed, *rows);
-    // A peer may have passed on some of them meanwhile.
+    // A peer may have passed on some of the changes meanwhile.
     for (const platform::StoredRow &row : rows->rows) {
         if (row.version > feed.copy.version())
             (this->*feed.change)(row);
@@ -164,20 +166,20 @@
 void StoreFollower::answered(Feed &feed, milliseconds storeTime)
 {
     const SteadyTime now = m_state.clock.steadyNow();
-    m_state.trueTime.storeAnswered(storeTime, now);
+    m_state.commonTime.observeStoreClock(storeTime, now);
     if (&feed == &m_list)
         m_lapse.heard(feed.copy.age(now), now);
-    if (!feed.away)
+    if (!feed.storeUnavailable)
         return;
-    feed.away = false;
+    feed.storeUnavailable = false;
     logEvent(events::StoreRegained, { { "table", feed.copy.table() } });
 }
 
 void StoreFollower::failed(Feed &feed, const Error &error)
 {
-    if (feed.away)
+    if (feed.storeUnavailable)
         return;
-    feed.away = true;
+    feed.storeUnavailable = true;
     logEvent(events::StoreLost,
              { { "table", feed.copy.table() },
                { "error", error.message },
@@ -227,8 +229,8 @@
                                 true });
     }
     for (const platform::StoredRow &row : missing)
-        serverGone(row.name.key);
-    m_state.listKnown = true;
+        handleRemoval(row.name.key);
+    m_state.serverListKnown = true;
     m_changed();
     return missing;
 }
@@ -236,21 +238,22 @@
 void StoreFollower::listChange(const platform::StoredRow &row)
 {
     if (row.removed) {
-        serverGone(row.name.key);
+        handleRemoval(row.name.key);
         return;
     }
     const SteadyTime now = m_state.clock.steadyNow();
     const auto server = readEntry(row);
     if (!server) {
         logFault(row, server.error());
-        // What stood there is overwritten. A server that lives writes its entry again with its next
-        // heartbeat; one that has left meanwhile does not, and nobody would remove this row.
+        // The previous value of the row is overwritten. A running server writes its entry again
+        // with its next heartbeat. A server that has left meanwhile does not, and nothing else
+        // would remove this row.
         m_state.servers.lapse(row.name.key, now + m_lapse.length());
         return;
     }
     const serving::Listing listing = m_state.servers.put(*server, now);
     if (listing.kind == serving::Listing::Kind::Added)
-        m_state.listGrewAt = now;
+        m_state.serverAddedAt = now;
     if (listing.ended)
         forget(*listing.ended, "restarted");
     logEvent(events::ServerListed,
@@ -269,23 +272,24 @@
 Result<serving::BackendServer> StoreFollower::readEntry(const platform::StoredRow &row) const
 {
     auto server = platform::decodeServer(row.name.key, row.value);
-    // Taken for the newest incarnation, such an entry would keep the true ones out for good.
+    // If such an entry were accepted as the newest incarnation, it would block the real ones
+    // permanently.
     if (server && server->born > m_state.clock.wallNow() + LargestClockError)
         return fail(ErrorKind::InvalidArgument,
-                    "server " + row.name.key + " was born in the future");
+                    "server " + row.name.key + " has a start time in the future");
     return server;
 }
 
 void StoreFollower::logFault(const platform::StoredRow &row, const Error &error)
 {
-    if (m_faultyLogged.size() >= MostFaultyLogged)
+    if (m_faultyLogged.size() >= MaxFaultyLogged)
         m_faultyLogged.clear();
     if (!m_faultyLogged.insert(row.name.key).second)
         return;
     logEvent(events::StoreRowFaulty,
              { { "row", row.name.key },
                { "version", std::to_string(row.version) },
-               { "error", row.unreadable ? "its value is no base64" : error.message } });
+               { "error", row.unreadable ? "the value is not valid base64" : error.message } });
 }
 
 void StoreFollower::logSkipped(const Feed &feed, const platform::StoredRows &rows)
@@ -298,7 +302,7 @@
                { "error", std::to_string(rows.skipped) + " rows have no readable name" } });
 }
 
-void StoreFollower::serverGone(const std::string &id)
+void StoreFollower::handleRemoval(const std::string &id)
 {
     const SteadyTime now = m_state.clock.steadyNow();
     if (m_lapse.open(now)) {
@@ -319,7 +323,7 @@
                { "reason", reason } });
 }
 
-void StoreFollower::settleServers()
+void StoreFollower::updateLapsedServers()
 {
     const SteadyTime now = m_state.clock.steadyNow();
     for (const auto &gone : m_state.servers.expireLapsed(now))
--- a/src/snipestall/gateway/stream_watch.cpp
+++ b/src/snipestall/gateway/stream_watch.cpp
@@ -8,9 +8,9 @@
 {
     for (WatchedStream &entry : entries()) {
         const auto leavesAt = entry.server->leavesAt;
-        if (entry.asked || !leavesAt || !serving::shouldMove(*leavesAt, now))
+        if (entry.moveStarted || !leavesAt || !serving::shouldMove(*leavesAt, now))
             continue;
-        entry.asked = true;
+        entry.moveStarted = true;
         entry.moveAway();
     }
 }
--- a/src/snipestall/gateway/table_copy.cpp
+++ b/src/snipestall/gateway/table_copy.cpp
@@ -33,7 +33,7 @@
         if (row.version > m_version)
             m_changes.push_back(row);
     }
-    while (m_changes.size() > MostKept) {
+    while (m_changes.size() > MaxKeptChanges) {
         m_keptAfter = m_changes.front().version;
         m_changes.pop_front();
     }
@@ -49,7 +49,7 @@
 
 bool TableCopy::advanceFromPeer(const TableChanges &changes)
 {
-    // With a gap in between, a change would be missed for good.
+    // If there were a gap before the changes, the changes within it would be lost permanently.
     if (m_version == 0 || changes.from > m_version || changes.to <= m_version)
         return false;
     keep(changes.rows);
@@ -61,7 +61,7 @@
 {
     if (version < m_version || m_version == 0)
         return;
-    // A copy that goes further holds changes that this one lacks.
+    // A copy of a later version contains changes that this one lacks.
     if (version > m_version)
         return;
     const SteadyTime at = now - age;
--- a/src/snipestall/gateway/table_copy_test.cpp
+++ b/src/snipestall/gateway/table_copy_test.cpp
@@ -29,7 +29,7 @@
     TableCopy m_other { "servers" };
 };
 
-TEST_F(TableCopyTest, PassesOnWhatAnotherCopyLacks)
+TEST_F(TableCopyTest, PassesOnChangesThatAnotherCopyLacks)
 {
     m_reader.advance({ row("a", 12), row("b", 15) }, 17, Start + 1s);
     const auto changes = m_reader.since(m_other.version());
@@ -41,15 +41,15 @@
     EXPECT_FALSE(m_reader.since(17));
 }
 
-// A server that left gets new work for good: the instance missed the change of its entry, because
-// later changes were taken from a peer that no longer had the earlier one.
+// Guards against new work for a server that has left: the instance missed the change of its entry,
+// because it took later changes from a peer that no longer had the earlier one.
 TEST_F(TableCopyTest, RefusesChangesThatLeaveAGap)
 {
     EXPECT_FALSE(m_other.advanceFromPeer({ 11, 20, { row("a", 15) } }));
     EXPECT_EQ(m_other.version(), 10);
 }
 
-TEST_F(TableCopyTest, DoesNotPassOnWhatItNoLongerHas)
+TEST_F(TableCopyTest, DoesNotPassOnChangesThatItHasDropped)
 {
     for (std::int64_t version = 11; version < 1000; ++version)
         m_reader.advance({ row("a", version) }, version, Start);
@@ -58,9 +58,9 @@
     EXPECT_FALSE(m_reader.since(5));
 }
 
-// Guards against work for servers that have left: an instance on a narrow link took the pages of a
-// long read for a view of this moment, and asked for no changes for seconds after it.
-TEST_F(TableCopyTest, IsAsOldAsTheBeginningOfItsRead)
+// Guards against work for servers that have left: an instance on a slow connection treated the
+// pages of a long read as the current state and requested no changes for seconds afterwards.
+TEST_F(TableCopyTest, AgeCountsFromTheBeginningOfTheRead)
 {
     TableCopy copy("servers");
     copy.beginRead(Start);
@@ -72,7 +72,7 @@
     EXPECT_EQ(m_reader.age(Start + 3s), 1s);
 }
 
-TEST_F(TableCopyTest, IsAsFreshAsTheFreshestCopyThatGoesAsFar)
+TEST_F(TableCopyTest, TakesOverTheAgeOfAFresherCopyOfTheSameVersion)
 {
     EXPECT_EQ(m_other.age(Start + 2s), 2s);
     m_other.confirm(10, 300ms, Start + 2s);
@@ -82,9 +82,10 @@
     EXPECT_EQ(m_other.age(Start + 3s), 1300ms);
 }
 
-// A new configuration takes seconds to reach most instances: the store dropped its history, the
-// readers read the whole table, and could no longer say what the others lack.
-TEST_F(TableCopyTest, PassesOnWhatAWholeReadBrought)
+// Guards against a new configuration that takes seconds to reach most instances: the store dropped
+// its history, the readers read the whole table, and could no longer tell which changes the others
+// lacked.
+TEST_F(TableCopyTest, PassesOnChangesFoundByAWholeRead)
 {
     platform::StoredRow gone = row("old", 30);
     gone.removed = true;
@@ -98,7 +99,7 @@
     EXPECT_TRUE(m_other.advanceFromPeer(*changes));
 }
 
-TEST_F(TableCopyTest, ACopyThatWasNeverReadTakesNothingFromPeers)
+TEST_F(TableCopyTest, ACopyThatWasNeverReadAcceptsNoChangesFromPeers)
 {
     TableCopy empty("servers");
     EXPECT_FALSE(empty.advanceFromPeer({ 0, 20, { row("a", 15) } }));
