--- a/include/snipestall/gateway/request_relay.hpp
+++ b/include/snipestall/gateway/request_relay.hpp
@@ -63,7 +63,7 @@
     /// Checks the request and refuses it if it may not be served. Returns true if it is admitted.
     wire::Task<bool> admit();
     wire::Task<void> serve();
-    wire::Task<AttemptEnd> attempt(serving::Placed placed);
+    wire::Task<AttemptEnd> attempt(serving::ServerChoice placed);
     wire::Task<AttemptEnd> handleAnswer(const serving::ServerStatePtr &server);
     wire::Task<AttemptEnd> relayWhole(const serving::ServerStatePtr &server);
     wire::Task<AttemptEnd> relayStream(const serving::ServerStatePtr &server);
@@ -103,7 +103,7 @@
     void beginMove(const serving::ServerStatePtr &source);
     /// Waits for a move that is in progress; returns true if the run continues at another server.
     wire::Task<bool> awaitMove();
-    serving::Placed finishMove();
+    serving::ServerChoice finishMove();
     void handleCallerLeft();
     void recordCallerLeft();
     /// Closes the connection of the caller, so that an incomplete answer does not look complete.
--- a/include/snipestall/gateway/store_follower.hpp
+++ b/include/snipestall/gateway/store_follower.hpp
@@ -4,7 +4,7 @@
 #include "snipestall/base/clock.hpp"
 #include "snipestall/base/result.hpp"
 #include "snipestall/gateway/table_copy.hpp"
-#include "snipestall/serving/lapse_window.hpp"
+#include "snipestall/serving/expiry_window.hpp"
 #include "snipestall/wire/task.hpp"
 
 #include <chrono>
@@ -88,7 +88,7 @@
     Feed m_config;
     Feed m_list;
     bool m_reader = false;
-    serving::LapseWindow m_lapse;
+    serving::ExpiryWindow m_lapse;
     std::unordered_set<std::string> m_faultyLogged;
     std::function<void()> m_changed;
 };
--- a/include/snipestall/serving/backend_server.hpp
+++ b/include/snipestall/serving/backend_server.hpp
@@ -16,7 +16,7 @@
     std::string id;
     /// When this incarnation started; of two incarnations with the same id, the later one is the
     /// newer. The epoch of the clock if the server does not report it.
-    WallTime born;
+    WallTime startedAt;
     std::string service;
     wire::Endpoint address;
     std::string dataCentre;
--- a/include/snipestall/serving/crash_watch.hpp
+++ b/include/snipestall/serving/crash_watch.hpp
@@ -36,26 +36,26 @@
     /// The connection to `server` broke before the end of the answer. Returns true if it now has to
     /// be checked whether the server has crashed, with the result reported by foundRunning() or
     /// connectionRefused(); false if such a check is already under way.
-    bool broke(std::uint64_t fingerprint, const std::string &server, SteadyTime now);
+    bool connectionBroke(std::uint64_t fingerprint, const std::string &server, SteadyTime now);
     /// Whether the check of a server whose connection broke is still under way.
-    [[nodiscard]] bool inDoubt(const std::string &server) const;
+    [[nodiscard]] bool isBeingChecked(const std::string &server) const;
     /// The check found that the server accepts connections.
-    void stillListens(const std::string &server);
+    void foundRunning(const std::string &server);
     /// The server refuses connections. Reports all requests whose connections to it broke shortly
     /// before.
-    void refused(const std::string &server, SteadyTime now);
+    void connectionRefused(const std::string &server, SteadyTime now);
     /// Adds a report of this instance or of a peer.
-    void reported(const CrashReport &report, SteadyTime now);
+    void addReport(const CrashReport &report, SteadyTime now);
     /// A server answered the request, so the request is not the cause of any crash.
-    void answered(std::uint64_t fingerprint, SteadyTime now);
+    void requestAnswered(std::uint64_t fingerprint, SteadyTime now);
     /// Whether a server has answered the request within the last minutes.
-    [[nodiscard]] bool isInnocent(std::uint64_t fingerprint) const;
+    [[nodiscard]] bool wasAnswered(std::uint64_t fingerprint) const;
     /// Whether a server has crashed while the request was in flight there.
-    [[nodiscard]] bool hasEndedServer(std::uint64_t fingerprint) const;
+    [[nodiscard]] bool hasCrashedServer(std::uint64_t fingerprint) const;
     /// Whether the request has to be refused.
-    [[nodiscard]] bool blocked(std::uint64_t fingerprint, SteadyTime now) const;
+    [[nodiscard]] bool isBlocked(std::uint64_t fingerprint, SteadyTime now) const;
     /// Recent reports that have to be sent to the other instances.
-    [[nodiscard]] std::vector<CrashReport> recent(SteadyTime now) const;
+    [[nodiscard]] std::vector<CrashReport> recentReports(SteadyTime now) const;
 
 private:
     static constexpr std::size_t BlockThreshold = 3;
--- a/include/snipestall/serving/demand_meter.hpp
+++ b/include/snipestall/serving/demand_meter.hpp
@@ -26,7 +26,7 @@
 public:
     /// An engine has read a prompt: its first token came after `took`, with no other prompt waiting
     /// ahead of it.
-    void sawPromptRead(const std::string &service, double tokens,
+    void promptRead(const std::string &service, double tokens,
                        std::chrono::duration<double> took);
     /// A prompt of which `tokens` are not cached was sent to an engine.
     void promptSent(const std::string &service, double tokens);
@@ -36,7 +36,7 @@
 
     /// Adds what a peer's totals have grown by. Totals of another `series` cannot be compared with
     /// earlier ones, so they only set a new base.
-    void peerWork(const std::string &peer, std::uint64_t series, const ServiceWork &work);
+    void updatePeerWork(const std::string &peer, std::uint64_t series, const ServiceWork &work);
     /// Drops the totals of a peer whose work another peer also reports.
     void forgetPeer(const std::string &peer) { m_peers.erase(peer); }
 
--- a/include/snipestall/serving/duty_lease.hpp
+++ b/include/snipestall/serving/duty_lease.hpp
@@ -60,14 +60,14 @@
     [[nodiscard]] std::optional<LeaseWrite> release() const;
 
     /// The row was read; version 0 means that it does not exist.
-    void sawRow(const LeaseRow &row, std::int64_t version, SteadyTime now);
+    void rowRead(const LeaseRow &row, std::int64_t version, SteadyTime now);
     /// The write succeeded and gave the row this version.
-    void wrote(const LeaseWrite &write, std::int64_t version, SteadyTime sentAt);
+    void rowWritten(const LeaseWrite &write, std::int64_t version, SteadyTime sentAt);
     /// It is not known whether the write took effect; only a read can tell.
-    void writeUnknown();
+    void writeOutcomeUnknown();
     /// A peer that reports itself as the holder has sent a report; the row need not be read for a
     /// while.
-    void holderHeard(SteadyTime now);
+    void holderReported(SteadyTime now);
 
 private:
     [[nodiscard]] bool isOwn() const { return m_row.holder == m_self; }
--- a/include/snipestall/serving/lapse_window.hpp
+++ b/include/snipestall/serving/expiry_window.hpp
@@ -16,17 +16,17 @@
 /// gap that is long enough for this, from the store or from a peer, therefore keeps disappearing
 /// entries for a while. That while is shorter than the time after which a server that really leaves
 /// must not get new requests.
-class LapseWindow
+class ExpiryWindow
 {
 public:
     /// `heartbeat`: interval at which servers renew their entries; `drain`: how long a leaving
     /// server still serves.
-    LapseWindow(std::chrono::milliseconds heartbeat, std::chrono::milliseconds drain);
+    ExpiryWindow(std::chrono::milliseconds heartbeat, std::chrono::milliseconds drain);
 
     /// The list was received; before that, it was known to be complete as of `age` ago.
-    void heard(std::chrono::milliseconds age, SteadyTime now);
+    void listReceived(std::chrono::milliseconds age, SteadyTime now);
     /// Whether a disappearing entry may merely have expired.
-    [[nodiscard]] bool open(SteadyTime now) const { return now < m_until; }
+    [[nodiscard]] bool isOpen(SteadyTime now) const { return now < m_until; }
     [[nodiscard]] SteadyTime until() const { return m_until; }
     /// How long an entry that may merely have expired is kept.
     [[nodiscard]] std::chrono::milliseconds length() const { return m_length; }
--- a/include/snipestall/serving/fleet_planner.hpp
+++ b/include/snipestall/serving/fleet_planner.hpp
@@ -48,7 +48,7 @@
     /// unknown.
     double servers = 0;
     /// The number needed at the moment.
-    double serversNow = 0;
+    double currentServers = 0;
     /// Whether any request has arrived yet.
     bool hasRequests = false;
 };
@@ -80,7 +80,7 @@
     /// Reports which part of the target latency the slowest tenth of requests waits for its first
     /// byte, as a measure of how close the fleet is to being too small. To be called a few times
     /// per second.
-    void pressure(double partOfTarget, SteadyTime now);
+    void updatePressure(double partOfTarget, SteadyTime now);
     /// Returns the orders to be sent now; the result of each is reported with accepted() or
     /// refused().
     [[nodiscard]] std::vector<FleetOrder> plan(const std::map<std::string, FleetCount> &counts,
--- a/include/snipestall/serving/latency_pressure.hpp
+++ b/include/snipestall/serving/latency_pressure.hpp
@@ -17,7 +17,7 @@
     /// A request got its first byte after `partOfTarget` times the target latency.
     void firstByte(const std::string &service, double partOfTarget, SteadyTime now);
     /// The 90th percentile of the last seconds; 0 without requests.
-    [[nodiscard]] double highest(const std::string &service, SteadyTime now);
+    [[nodiscard]] double percentile90(const std::string &service, SteadyTime now);
 
 private:
     static constexpr std::chrono::seconds Window { 4 };
--- a/include/snipestall/serving/loop_lag.hpp
+++ b/include/snipestall/serving/loop_lag.hpp
@@ -18,7 +18,7 @@
 public:
     static constexpr std::chrono::milliseconds Tick { 50 };
     /// The lag of timers and short bursts stays below this on an instance that keeps up.
-    static constexpr std::chrono::milliseconds LateAfter { 250 };
+    static constexpr std::chrono::milliseconds LateThreshold { 250 };
 
     explicit LoopLag(SteadyTime now);
 
--- a/include/snipestall/serving/member_usage.hpp
+++ b/include/snipestall/serving/member_usage.hpp
@@ -28,12 +28,12 @@
     static constexpr std::chrono::milliseconds MemberStoresAfter { 1500 };
 
     /// Hub only: a member reports that its counts of the windows up to this one are final.
-    void closed(const std::string &process, std::int64_t window);
+    void memberClosed(const std::string &process, std::int64_t window);
     /// Hub only: the members whose counts of the window are final.
-    [[nodiscard]] std::vector<std::string> finalIn(std::int64_t window) const;
+    [[nodiscard]] std::vector<std::string> membersFinalFor(std::int64_t window) const;
     /// Hub only: the counts that these members reported for the window and for earlier ones are
     /// stored.
-    void stored(const std::vector<std::string> &processes, std::int64_t window);
+    void markStored(const std::vector<std::string> &processes, std::int64_t window);
     /// Hub only: the last window up to which the counts of a member are stored; 0 for none.
     [[nodiscard]] std::int64_t storedUpTo(const std::string &process) const;
     [[nodiscard]] bool hasMembers() const { return !m_members.empty(); }
@@ -47,7 +47,7 @@
     [[nodiscard]] bool storedByHub(std::int64_t window) const { return window <= m_storedByHub; }
     /// Whether storing the counts of a window that ended `sinceEnd` ago may still be left to the
     /// hub.
-    [[nodiscard]] bool leftToHub(std::chrono::milliseconds sinceEnd, SteadyTime now) const;
+    [[nodiscard]] bool isLeftToHub(std::chrono::milliseconds sinceEnd, SteadyTime now) const;
 
 private:
     /// A hub that has not reported for several intervals stores nothing for this instance.
--- a/include/snipestall/serving/peer_calls.hpp
+++ b/include/snipestall/serving/peer_calls.hpp
@@ -31,25 +31,25 @@
     PeerCalls(std::string self, OverlayPeer own);
 
     /// A peer is in the list of instances, or has called this one.
-    void known(const std::string &peer, const OverlayPeer &info);
+    void addPeer(const std::string &peer, const OverlayPeer &info);
     /// A peer has a new address, so its earlier failures no longer count.
-    void moved(const std::string &peer);
+    void addressChanged(const std::string &peer);
     /// A peer's report has arrived, with a call of the peer or as the answer to a call of this
     /// instance.
-    void heard(const std::string &peer, SteadyTime now);
+    void reportReceived(const std::string &peer, SteadyTime now);
     /// A peer has answered a call.
-    void answered(const std::string &peer);
+    void callAnswered(const std::string &peer);
     /// Number of the session with a hub, for a report that is about to be sent to that hub: each
     /// change of the hub begins a new session.
-    std::uint64_t stayAt(const std::string &hub);
+    std::uint64_t hubSession(const std::string &hub);
     /// A call to a peer has failed.
-    void failed(const std::string &peer, SteadyTime now);
+    void callFailed(const std::string &peer, SteadyTime now);
     /// A call ended without an answer for a reason that does not concern the peer.
-    void abandoned(const std::string &peer) { m_peers[peer].calling = false; }
+    void callAbandoned(const std::string &peer) { m_peers[peer].calling = false; }
     /// Returns the peers to be called now; each counts as being called until it has answered or
     /// failed. `hasMembers`: others use this instance as a hub, so it needs the reports of the
     /// hubs.
-    std::vector<std::string> due(SteadyTime now, bool hasMembers);
+    std::vector<std::string> dueCalls(SteadyTime now, bool hasMembers);
     [[nodiscard]] const Overlay &overlay() const { return m_overlay; }
 
 private:
--- a/include/snipestall/serving/peer_loads.hpp
+++ b/include/snipestall/serving/peer_loads.hpp
@@ -18,7 +18,7 @@
     using Loads = std::unordered_map<std::string, ServerLoad>;
 
     /// Replaces what `peer` has reported before.
-    void report(const std::string &peer, Loads loads, SteadyTime now);
+    void update(const std::string &peer, Loads loads, SteadyTime now);
     void forget(const std::string &peer);
     /// Sum over all peers that have reported recently.
     [[nodiscard]] ServerLoad at(const std::string &server, SteadyTime now) const;
--- a/include/snipestall/serving/placement.hpp
+++ b/include/snipestall/serving/placement.hpp
@@ -27,13 +27,13 @@
     bool mayRepeat = true;
     /// Fingerprint of a request that no server is known to have answered; not set for other
     /// requests.
-    std::optional<std::uint64_t> untried;
+    std::optional<std::uint64_t> unansweredFingerprint;
     /// Keys of the servers that this request has already been sent to.
     std::unordered_set<std::string> tried;
 };
 
 /// The chosen server and the load that the request adds to it.
-struct Placed
+struct ServerChoice
 {
     ServerStatePtr server;
     /// Prompt tokens that the engine still has to read, as far as is known.
@@ -62,20 +62,20 @@
               std::uint64_t seed);
 
     /// Returns nothing if no server of the service accepts requests.
-    [[nodiscard]] std::optional<Placed> choose(const Demand &demand, SteadyTime now);
+    [[nodiscard]] std::optional<ServerChoice> choose(const Demand &demand, SteadyTime now);
     /// The request was sent, so its shared parts are cached on `server` from now on. `server` is
     /// the key of the server.
-    void sent(const Demand &demand, const std::string &server, SteadyTime now);
+    void requestSent(const Demand &demand, const std::string &server, SteadyTime now);
     /// Forgets what is cached on a server, given by its key.
-    void serverGone(const std::string &server);
+    void forgetServer(const std::string &server);
 
 private:
     [[nodiscard]] std::vector<ServerStatePtr> candidates(const Demand &demand,
                                                          SteadyTime now) const;
-    [[nodiscard]] Placed chooseForPrompt(const Demand &demand,
+    [[nodiscard]] ServerChoice chooseForPrompt(const Demand &demand,
                                          const std::vector<ServerStatePtr> &servers,
                                          SteadyTime now) const;
-    [[nodiscard]] Placed chooseForCall(const Demand &demand,
+    [[nodiscard]] ServerChoice chooseForCall(const Demand &demand,
                                        const std::vector<ServerStatePtr> &servers, SteadyTime now);
     /// Cost between 0 and 1 that decides between servers with the same load.
     [[nodiscard]] double tieBreak(const Demand &demand, const ServerState &server);
--- a/include/snipestall/serving/quota_keeper.hpp
+++ b/include/snipestall/serving/quota_keeper.hpp
@@ -97,19 +97,19 @@
     /// To be called if this process starts while other instances may be serving. Its buckets start
     /// in debt. Until the other instances have reported, the buckets fill only at the share of this
     /// instance in the rate, and not at all before setRegisteredInstances() has been called.
-    void startedAmongOthers(SteadyTime now);
+    void joinFleet(SteadyTime now);
     /// Sets the number of registered instances, including this one.
-    void registeredInstances(std::size_t count) { m_registered = count; }
+    void setRegisteredInstances(std::size_t count) { m_registered = count; }
 
     /// Takes `units` from the quota of `customer`, if the request is admitted.
     QuotaVerdict take(const std::string &customer, double units, SteadyTime now);
     /// Gives back the units taken for a request that did not run.
-    void giveBack(const std::string &customer, double units);
+    void refund(const std::string &customer, double units);
     /// The totals of this process.
     [[nodiscard]] const QuotaUse &ownUse() const { return m_ownUse; }
 
     /// Applies the totals that a peer reports, for itself or for all instances that it covers.
-    void peerUse(const std::string &peer, QuotaPeer info, const QuotaUse &use, SteadyTime now);
+    void updatePeerUse(const std::string &peer, QuotaPeer info, const QuotaUse &use, SteadyTime now);
 
     /// Drops a peer whose use another peer also reports.
     void forgetPeer(const std::string &peer) { m_peers.erase(peer); }
--- a/include/snipestall/serving/retry_allowance.hpp
+++ b/include/snipestall/serving/retry_allowance.hpp
@@ -37,9 +37,9 @@
     /// Sets the number of instances that share the fixed allowance.
     void setInstances(std::size_t count) { m_instances = count; }
     /// Counts a first attempt.
-    void first(const std::string &service, SteadyTime now);
+    void countFirstAttempt(const std::string &service, SteadyTime now);
     /// Takes one repeat from the allowance of the window; returns false if it is used up.
-    bool repeat(const std::string &service, SteadyTime now);
+    bool tryRepeat(const std::string &service, SteadyTime now);
 
 private:
     static constexpr std::size_t Slices = 20;
--- a/include/snipestall/serving/scaling_policy.hpp
+++ b/include/snipestall/serving/scaling_policy.hpp
@@ -10,8 +10,8 @@
 struct ScalingPolicy
 {
     /// Limits per data centre, for reclaimable and on-demand servers together.
-    int least = 1;
-    int most = 1;
+    int minServers = 1;
+    int maxServers = 1;
     /// Time from an order until the new server accepts requests.
     std::chrono::milliseconds bootTime { 0 };
     /// Price of a reclaimable server relative to an on-demand server.
--- a/include/snipestall/serving/server_speed.hpp
+++ b/include/snipestall/serving/server_speed.hpp
@@ -16,7 +16,7 @@
 {
 public:
     /// Adds the median pause between the events of a stream that has just ended on this server.
-    void sawPause(std::chrono::duration<double> pause);
+    void addStreamPause(std::chrono::duration<double> pause);
     /// Average pause between two events; nothing before the first stream has ended.
     [[nodiscard]] std::optional<std::chrono::duration<double>> pause() const { return m_pause; }
     /// Updates slowness() by the median pause of all servers of the service.
--- a/include/snipestall/serving/server_table.hpp
+++ b/include/snipestall/serving/server_table.hpp
@@ -30,7 +30,7 @@
     ServerHealth health;
     ServerSpeed speed;
     /// When this instance last received a byte from the server.
-    SteadyTime heardAt;
+    SteadyTime lastByteAt;
     /// Set while the server is being reclaimed: until when it certainly serves, on the clock of
     /// this instance.
     std::optional<SteadyTime> leavesAt;
@@ -45,7 +45,7 @@
 using ServerStatePtr = std::shared_ptr<ServerState>;
 
 /// The result of adding an entry to the table.
-struct Listing
+struct PutResult
 {
     enum class Kind {
         Added,
@@ -82,16 +82,16 @@
     { }
 
     /// Adds or updates a server by an entry of the list.
-    Listing put(const BackendServer &server, SteadyTime now);
+    PutResult put(const BackendServer &server, SteadyTime now);
     /// The entry was removed from the list. Returns the incarnation that it named; null if none was
     /// known.
     ServerStatePtr remove(const std::string &id);
     /// The entry was removed from the list while the store of the list was unavailable. The server
     /// is taken as gone at `until` unless it is listed again before.
-    void lapse(const std::string &id, SteadyTime until);
+    void markExpired(const std::string &id, SteadyTime until);
     /// Removes the expired entries whose time has come, and returns their servers. Unlike a server
     /// that left, a server whose entry expired serves again as soon as it is listed again.
-    std::vector<ServerStatePtr> expireLapsed(SteadyTime now);
+    std::vector<ServerStatePtr> removeExpired(SteadyTime now);
     /// Readmits the servers whose incarnation had left the list and which have been listed again
     /// for long enough. Returns them.
     std::vector<ServerStatePtr> readmit(SteadyTime now);
@@ -100,7 +100,7 @@
     void lost(ServerState &server, SteadyTime now);
     /// Another incarnation answers at the address of this one, so this one has ended, whatever the
     /// list still contains.
-    static void replaced(ServerState &server) { server.departed = true; }
+    static void markReplaced(ServerState &server) { server.departed = true; }
     /// A server sent a complete answer.
     void answered(ServerState &server);
     /// False while the server or its whole data centre should be avoided.
@@ -123,7 +123,7 @@
     };
 
     ServerStatePtr drop(const std::string &id);
-    Listing awaitRenewals(const BackendServer &server, SteadyTime now);
+    PutResult awaitRenewals(const BackendServer &server, SteadyTime now);
     void update(ServerState &state, const BackendServer &server, SteadyTime now) const;
 
     /// Maximum number of ids of departed servers that are remembered; at the planned size this
--- a/include/snipestall/serving/shutdown_plan.hpp
+++ b/include/snipestall/serving/shutdown_plan.hpp
@@ -18,7 +18,7 @@
 public:
     /// New connections may arrive until the readiness has been queried a few times, once per
     /// second.
-    static constexpr std::chrono::milliseconds TakeWorkFor { 2700 };
+    static constexpr std::chrono::milliseconds AcceptPeriod { 2700 };
     /// Before the end of the grace period: time at which requests that still run get their last
     /// answer.
     static constexpr std::chrono::milliseconds LastAnswerMargin { 500 };
--- a/include/snipestall/serving/usage_ledger.hpp
+++ b/include/snipestall/serving/usage_ledger.hpp
@@ -19,11 +19,11 @@
 {
 public:
     /// Adds counts of a process, reported or stored.
-    void said(std::int64_t window, const std::string &process, const UsageCounts &counts);
+    void addCounts(std::int64_t window, const std::string &process, const UsageCounts &counts);
     /// Whether any counts of a process for a window are known.
     [[nodiscard]] bool hasCounts(std::int64_t window, const std::string &process) const;
     /// The counts of each process for a window.
-    [[nodiscard]] std::map<std::string, UsageCounts> of(std::int64_t window) const;
+    [[nodiscard]] std::map<std::string, UsageCounts> countsByProcess(std::int64_t window) const;
     /// Sum over all processes.
     [[nodiscard]] UsageCounts total(std::int64_t window) const;
     /// Drops the windows before this one.
--- a/include/snipestall/serving/usage_windows.hpp
+++ b/include/snipestall/serving/usage_windows.hpp
@@ -27,7 +27,7 @@
     [[nodiscard]] WallTime endOf(std::int64_t window) const;
 
     /// A server started a request of `customer` at `time`.
-    void began(const std::string &customer, WallTime time);
+    void requestStarted(const std::string &customer, WallTime time);
     /// The counts of a window; empty if no request was started in it.
     [[nodiscard]] UsageCounts counts(std::int64_t window) const;
     [[nodiscard]] const std::map<std::int64_t, UsageCounts> &all() const { return m_windows; }
--- a/src/snipestall/gateway/attempt_watch.cpp
+++ b/src/snipestall/gateway/attempt_watch.cpp
@@ -8,7 +8,7 @@
 void AttemptWatch::check(SteadyTime now)
 {
     for (const WatchedAttempt &entry : entries()) {
-        const serving::WaitingAttempt attempt { entry.sentAt, entry.server->heardAt,
+        const serving::WaitingAttempt attempt { entry.sentAt, entry.server->lastByteAt,
                                                 entry.predicted };
         // The aborted attempt ends as lost and then removes its own entry.
         if (serving::isStalled(attempt, now))
--- a/src/snipestall/gateway/duty_runner.cpp
+++ b/src/snipestall/gateway/duty_runner.cpp
@@ -87,7 +87,7 @@
 
 void DutyRunner::holderReported()
 {
-    m_lease.holderHeard(m_state.clock.steadyNow());
+    m_lease.holderReported(m_state.clock.steadyNow());
 }
 
 platform::DutyHolder DutyRunner::holder() const
@@ -127,9 +127,9 @@
     const SteadyTime now = m_state.clock.steadyNow();
     const platform::StoredRow *lease = findRow(*rows, LeaseKey);
     if (lease == nullptr)
-        m_lease.sawRow({}, 0, now);
+        m_lease.rowRead({}, 0, now);
     else
-        m_lease.sawRow(decodeLease(lease->value), lease->version, now);
+        m_lease.rowRead(decodeLease(lease->value), lease->version, now);
     if (const platform::StoredRow *offset = findRow(*rows, TimeOffsetKey))
         m_state.commonTime.setOffset(milliseconds(std::atoll(offset->value.c_str())));
 }
@@ -142,10 +142,10 @@
     const auto done =
         co_await m_store.write(std::move(conditions), std::move(writes), StoreTimeout);
     if (done)
-        m_lease.wrote(write, done->storeVersion, sentAt);
+        m_lease.rowWritten(write, done->storeVersion, sentAt);
     else if (done.error().kind != ErrorKind::Unavailable
              && done.error().kind != ErrorKind::Exhausted)
-        m_lease.writeUnknown();
+        m_lease.writeOutcomeUnknown();
 }
 
 Task<void> DutyRunner::agreeOnTimeOffset()
--- a/src/snipestall/gateway/duty_runner_fleet.cpp
+++ b/src/snipestall/gateway/duty_runner_fleet.cpp
@@ -100,7 +100,7 @@
             continue;
         serving::FleetPlanner &planner = m_planners.at(name);
         const SteadyTime now = m_state.clock.steadyNow();
-        planner.pressure(m_state.latency.highest(name, now), now);
+        planner.updatePressure(m_state.latency.percentile90(name, now), now);
         const serving::FleetDemand demand { m_state.demand.needed(name),
                                             m_state.demand.neededNow(name),
                                             m_state.counters.attempts > 0 };
@@ -121,7 +121,7 @@
                        { "scale", std::to_string(planner.scale()) },
                        { "estimate", toString(planner.estimate()) },
                        { "needed", std::to_string(demand.servers) },
-                       { "needed_now", std::to_string(demand.serversNow) },
+                       { "needed_now", std::to_string(demand.currentServers) },
                        { "fence", std::to_string(m_lease.fence()) },
                        { "error", done ? std::string() : done.error().message } });
         }
--- a/src/snipestall/gateway/duty_runner_usage.cpp
+++ b/src/snipestall/gateway/duty_runner_usage.cpp
@@ -113,7 +113,7 @@
         const std::int64_t window = m_storedUpTo + 1;
         const bool byHub = !m_state.draining() && m_state.memberUsage.storedByHub(window);
         if (!byHub && !m_state.draining()
-            && m_state.memberUsage.leftToHub(sinceEndOf(window), m_state.clock.steadyNow()))
+            && m_state.memberUsage.isLeftToHub(sinceEndOf(window), m_state.clock.steadyNow()))
             co_return;
         if (!byHub && !co_await storeCountsOf(window))
             co_return;
@@ -148,9 +148,9 @@
 
 Task<bool> DutyRunner::storeMembersCountsOf(std::int64_t window)
 {
-    const std::vector<std::string> members = m_state.memberUsage.finalIn(window);
+    const std::vector<std::string> members = m_state.memberUsage.membersFinalFor(window);
     std::map<std::string, UsageCounts> row;
-    const std::map<std::string, UsageCounts> known = m_state.usageLedger.of(window);
+    const std::map<std::string, UsageCounts> known = m_state.usageLedger.countsByProcess(window);
     std::size_t left = known.size();
     int number = 0;
     for (const auto &[process, counts] : known) {
@@ -166,7 +166,7 @@
             co_return false;
         row.clear();
     }
-    m_state.memberUsage.stored(members, window);
+    m_state.memberUsage.markStored(members, window);
     co_return true;
 }
 
@@ -252,11 +252,11 @@
     for (const platform::StoredRow &row : rows->rows) {
         const auto members = decodeMembers(row.value);
         for (const auto &[process, counts] : members)
-            m_state.usageLedger.said(window, process, counts);
+            m_state.usageLedger.addCounts(window, process, counts);
         if (members.empty())
-            m_state.usageLedger.said(window, row.name.key, decodeNumbers<std::uint64_t>(row.value));
+            m_state.usageLedger.addCounts(window, row.name.key, decodeNumbers<std::uint64_t>(row.value));
     }
-    m_state.usageLedger.said(window, m_state.processName(), m_state.usage.counts(window));
+    m_state.usageLedger.addCounts(window, m_state.processName(), m_state.usage.counts(window));
     co_return m_state.usageLedger.total(window);
 }
 
--- a/src/snipestall/gateway/fleet_model_test.cpp
+++ b/src/snipestall/gateway/fleet_model_test.cpp
@@ -44,8 +44,8 @@
     instance.calls = serving::PeerCalls(instance.name, { instance.dataCentre });
     instance.quotas = serving::QuotaKeeper(m_tolerance, m_random.next());
     if (amongOthers)
-        instance.quotas.startedAmongOthers(m_now);
-    instance.quotas.registeredInstances(m_instances.size());
+        instance.quotas.joinFleet(m_now);
+    instance.quotas.setRegisteredInstances(m_instances.size());
     instance.quotas.configure({ m_customer }, m_now);
     introduce(instance);
 }
@@ -54,7 +54,7 @@
 {
     for (const Instance &other : m_instances) {
         if (other.name != instance.name)
-            instance.calls.known(other.name, { other.dataCentre });
+            instance.calls.addPeer(other.name, { other.dataCentre });
     }
 }
 
@@ -94,7 +94,7 @@
     std::erase_if(m_hangingCalls, [this](const HangingCall &hanging) {
         if (hanging.givenUpAt > m_now)
             return false;
-        m_instances[hanging.caller].calls.failed(hanging.callee, m_now);
+        m_instances[hanging.caller].calls.callFailed(hanging.callee, m_now);
         return true;
     });
 }
@@ -119,14 +119,14 @@
 
 void FleetModel::processReport(Instance &receiver, const v1::LoadReport &report, SteadyTime now)
 {
-    receiver.calls.known(report.instance(), { report.data_centre() });
-    receiver.calls.heard(report.instance(), now);
+    receiver.calls.addPeer(report.instance(), { report.data_centre() });
+    receiver.calls.reportReceived(report.instance(), now);
     receiver.book.addReport(report, now);
     if (receiver.book.isCoveredByHub(report, now)) {
         receiver.quotas.forgetPeer(report.instance());
         return;
     }
-    receiver.quotas.peerUse(
+    receiver.quotas.updatePeerUse(
         report.instance(),
         { report.series(), report.instances(), report.heard_instances(), report.for_member() },
         ReportBook::quotaUse(report), now);
@@ -137,7 +137,7 @@
     Instance &from = m_instances[caller];
     Instance &to = m_instances[callee];
     if (!to.up || to.mutedUntil > m_now) {
-        from.calls.failed(to.name, m_now);
+        from.calls.callFailed(to.name, m_now);
         return;
     }
     if (isCutOff(from) != isCutOff(to)) {
@@ -147,16 +147,16 @@
     const bool asMember = !from.calls.overlay().isHub() && !from.book.hasMembers(m_now);
     v1::LoadReport report = reportFor(from, to.name, asMember);
     if (asMember)
-        report.set_series(report.series() + from.calls.stayAt(to.name));
+        report.set_series(report.series() + from.calls.hubSession(to.name));
     processReport(to, report, m_now);
     processReport(from, reportFor(to, from.name, false), m_now);
-    from.calls.answered(to.name);
+    from.calls.callAnswered(to.name);
 }
 
 void FleetModel::exchange(std::size_t index)
 {
     Instance &instance = m_instances[index];
-    for (const std::string &name : instance.calls.due(m_now, instance.book.hasMembers(m_now)))
+    for (const std::string &name : instance.calls.dueCalls(m_now, instance.book.hasMembers(m_now)))
         call(index, m_byName.at(name));
 }
 
--- a/src/snipestall/gateway/gateway_state.cpp
+++ b/src/snipestall/gateway/gateway_state.cpp
@@ -21,7 +21,7 @@
     , loopLag(clock.steadyNow())
 {
     if (!settings.firstStart)
-        quotas.startedAmongOthers(clock.steadyNow());
+        quotas.joinFleet(clock.steadyNow());
 }
 
 } // namespace snipestall::gateway
--- a/src/snipestall/gateway/load_exchange.cpp
+++ b/src/snipestall/gateway/load_exchange.cpp
@@ -100,13 +100,13 @@
 void LoadExchange::updatePeer(const std::string &name, const std::string &address,
                               const serving::OverlayPeer &overlayPeer)
 {
-    m_calls.known(name, overlayPeer);
+    m_calls.addPeer(name, overlayPeer);
     Peer &peer = m_peers[name];
     peer.dataCentre = overlayPeer.dataCentre;
     if (peer.address == address)
         return;
     peer.address = address;
-    m_calls.moved(name);
+    m_calls.addressChanged(name);
     peer.channel = std::make_shared<ExchangeChannel>(m_state.io, address);
 }
 
@@ -116,7 +116,7 @@
     if (!rows)
         co_return false;
     m_state.instancesKnown = true;
-    m_state.quotas.registeredInstances(std::max<std::size_t>(rows->rows.size(), 1));
+    m_state.quotas.setRegisteredInstances(std::max<std::size_t>(rows->rows.size(), 1));
     for (const platform::StoredRow &row : rows->rows) {
         const auto instance = decodeInstance(row.value);
         if (row.name.key == m_state.settings.instance || !instance)
@@ -168,7 +168,7 @@
 void LoadExchange::callPeers()
 {
     const SteadyTime now = m_state.clock.steadyNow();
-    for (const std::string &name : m_calls.due(now, m_book.hasMembers(now)))
+    for (const std::string &name : m_calls.dueCalls(now, m_book.hasMembers(now)))
         call(name, m_peers.at(name));
     applyRole();
 }
@@ -188,13 +188,13 @@
     const bool asMember = !m_calls.overlay().isHub() && !m_book.hasMembers(now);
     v1::LoadReport report = reportFor(name, asMember);
     if (asMember)
-        report.set_series(report.series() + m_calls.stayAt(name));
+        report.set_series(report.series() + m_calls.hubSession(name));
     peer.channel->send(report, CallTimeout, [this, name](const v1::LoadReport *report) {
         if (report == nullptr) {
             handleUnanswered(name);
             return;
         }
-        m_calls.answered(name);
+        m_calls.callAnswered(name);
         handleReport(*report, nullptr);
     });
 }
@@ -202,10 +202,10 @@
 void LoadExchange::handleUnanswered(const std::string &peer)
 {
     // The answer may have arrived, but not been read yet.
-    if (m_state.loopLag.last() >= serving::LoopLag::LateAfter)
-        m_calls.abandoned(peer);
+    if (m_state.loopLag.last() >= serving::LoopLag::LateThreshold)
+        m_calls.callAbandoned(peer);
     else
-        m_calls.failed(peer, m_state.clock.steadyNow());
+        m_calls.callFailed(peer, m_state.clock.steadyNow());
 }
 
 v1::LoadReport LoadExchange::ownReport() const
@@ -252,7 +252,7 @@
         for (const auto &[customer, count] : counts)
             (*usage->mutable_customers())[customer] = count;
     }
-    for (const serving::CrashReport &crash : m_state.crashes.recent(m_state.clock.steadyNow())) {
+    for (const serving::CrashReport &crash : m_state.crashes.recentReports(m_state.clock.steadyNow())) {
         v1::Crash *entry = report.add_crashes();
         entry->set_fingerprint(crash.fingerprint);
         entry->set_server(crash.server);
@@ -329,10 +329,10 @@
     if (report.for_member())
         m_state.memberUsage.hubStored(report.usage_stored_up_to(), m_state.clock.steadyNow());
     if (report.to_hub())
-        m_state.memberUsage.closed(report.process(), report.usage_closed_up_to());
+        m_state.memberUsage.memberClosed(report.process(), report.usage_closed_up_to());
     for (const v1::UsageCount &usage : report.usage()) {
         const serving::UsageCounts counts(usage.customers().begin(), usage.customers().end());
-        m_state.usageLedger.said(usage.window(), report.process(), counts);
+        m_state.usageLedger.addCounts(usage.window(), report.process(), counts);
     }
 }
 
@@ -355,15 +355,15 @@
     for (const v1::ServerWork &work : report.servers())
         loads[work.server()] = { work.in_flight(), static_cast<double>(work.pending_tokens()),
                                  static_cast<double>(work.held_tokens()) };
-    m_state.peerLoads.report(report.instance(), std::move(loads), now);
-    m_state.quotas.peerUse(
+    m_state.peerLoads.update(report.instance(), std::move(loads), now);
+    m_state.quotas.updatePeerUse(
         report.instance(),
         { report.series(), report.instances(), report.heard_instances(), report.for_member() },
         ReportBook::quotaUse(report), now);
     serving::ServiceWork services;
     for (const v1::ServiceWork &each : report.services())
         services[each.service()] = each.seconds();
-    m_state.demand.peerWork(report.instance(), report.series(), services);
+    m_state.demand.updatePeerWork(report.instance(), report.series(), services);
 }
 
 void LoadExchange::processReport(const v1::LoadReport &report)
@@ -372,7 +372,7 @@
         return;
     const SteadyTime now = m_state.clock.steadyNow();
     updatePeer(report.instance(), report.address(), { report.data_centre(), report.milli_cores() });
-    m_calls.heard(report.instance(), now);
+    m_calls.reportReceived(report.instance(), now);
     Peer &peer = m_peers.at(report.instance());
     if (peer.silent)
         logEvent(events::GatewayPeerHeard,
@@ -392,7 +392,7 @@
     applyUsage(report);
     applyTables(report, peer);
     for (const v1::Crash &crash : report.crashes())
-        m_state.crashes.reported({ crash.fingerprint(), crash.server() }, now);
+        m_state.crashes.addReport({ crash.fingerprint(), crash.server() }, now);
     if (report.holds_lease())
         m_hooks.holderReported();
 }
--- a/src/snipestall/gateway/loop_watch.cpp
+++ b/src/snipestall/gateway/loop_watch.cpp
@@ -53,7 +53,7 @@
     m_nextReport = now + ReportInterval;
     const auto worst = m_state.loopLag.takeWorst();
     const LoopWork work = std::exchange(m_state.loopWork, {});
-    if (worst < LoopLag::LateAfter)
+    if (worst < LoopLag::LateThreshold)
         return;
     logEvent(events::LoopLate,
              { { "ms", std::to_string(worst.count()) },
--- a/src/snipestall/gateway/request_relay.cpp
+++ b/src/snipestall/gateway/request_relay.cpp
@@ -168,16 +168,16 @@
         return false;
     if (m_sends >= m_route->attemptLimit + MaxRejections)
         return false;
-    if (m_state.crashes.blocked(m_fingerprint, m_state.clock.steadyNow()))
+    if (m_state.crashes.isBlocked(m_fingerprint, m_state.clock.steadyNow()))
         return false;
     if (m_maybeRan && (!m_route->mayRepeat() || m_runs >= m_route->attemptLimit))
         return false;
-    return m_state.retries.repeat(m_demand.service->name, m_state.clock.steadyNow());
+    return m_state.retries.tryRepeat(m_demand.service->name, m_state.clock.steadyNow());
 }
 
 Task<void> RequestRelay::serve()
 {
-    m_state.retries.first(m_demand.service->name, m_received);
+    m_state.retries.countFirstAttempt(m_demand.service->name, m_received);
     AttemptEnd last = AttemptEnd::NotRun;
     do {
         const auto placed = m_state.placement.choose(m_demand, m_state.clock.steadyNow());
@@ -203,27 +203,27 @@
     if (server->info.leaving)
         return;
     m_lastLostServer = server->key;
-    if (m_state.crashes.broke(m_fingerprint, server->key, now))
+    if (m_state.crashes.connectionBroke(m_fingerprint, server->key, now))
         boost::asio::co_spawn(m_state.io, probeServerEnd(m_state, server), boost::asio::detached);
 }
 
 Task<void> RequestRelay::awaitCrashEvidence()
 {
     const SteadyTime until = m_state.clock.steadyNow() + CrashEvidenceWait;
-    while (m_state.crashes.inDoubt(m_lastLostServer) && m_state.clock.steadyNow() < until)
+    while (m_state.crashes.isBeingChecked(m_lastLostServer) && m_state.clock.steadyNow() < until)
         co_await wire::sleepFor(CrashEvidenceTick);
     // Failure: copies of a request that ends its server reach the same server through several
     // instances. One copy runs there; the others find its port closed and go on to another server
     // each. So a request that has already ended a server, and is rejected by the next one, first
     // waits for the reports of the peers.
-    if (m_connectionRejected && m_state.crashes.hasEndedServer(m_fingerprint))
+    if (m_connectionRejected && m_state.crashes.hasCrashedServer(m_fingerprint))
         co_await wire::sleepFor(PeerReportWait);
 }
 
 Task<void> RequestRelay::finishUnserved(AttemptEnd last)
 {
     if (!m_maybeRan && m_customer != nullptr)
-        m_state.quotas.giveBack(m_customer->name, quotaUnits());
+        m_state.quotas.refund(m_customer->name, quotaUnits());
     if (m_callerGone) {
         recordCallerLeft();
         co_return;
@@ -247,7 +247,7 @@
     }
     ++m_state.counters.failed;
     const bool late = last == AttemptEnd::TimedOut;
-    const bool blocked = m_state.crashes.blocked(m_fingerprint, m_state.clock.steadyNow());
+    const bool blocked = m_state.crashes.isBlocked(m_fingerprint, m_state.clock.steadyNow());
     const char *reason = late ? "timeout"
         : m_cancelled         ? "shutting-down"
         : blocked             ? "ends-servers"
@@ -281,7 +281,7 @@
     return request;
 }
 
-Task<RequestRelay::AttemptEnd> RequestRelay::attempt(serving::Placed placed)
+Task<RequestRelay::AttemptEnd> RequestRelay::attempt(serving::ServerChoice placed)
 {
     const serving::ServerStatePtr server = placed.server;
     m_demand.tried.insert(server->key);
@@ -297,7 +297,7 @@
     m_tokensAhead = placed.tokensAhead;
     if (m_unreadTokens > 0)
         m_state.demand.promptSent(m_demand.service->name, m_unreadTokens);
-    m_state.placement.sent(m_demand, server->key, m_state.clock.steadyNow());
+    m_state.placement.requestSent(m_demand, server->key, m_state.clock.steadyNow());
     m_call = std::make_shared<BackendCall>(m_state.io, m_state.backends, m_state.clock, server->key,
                                            server->info.address);
     const auto call = m_call;
@@ -311,7 +311,7 @@
         stopStallWatch();
     AttemptEnd end = AttemptEnd::Failed;
     if (start == CallStart::Answered) {
-        server->heardAt = m_state.clock.steadyNow();
+        server->lastByteAt = m_state.clock.steadyNow();
         end = co_await handleAnswer(server);
     } else if (start == CallStart::Unwanted) {
         end = AttemptEnd::NotRun;
@@ -319,7 +319,7 @@
         m_state.servers.lost(*server, m_state.clock.steadyNow());
         m_connectionRejected = call->connectionRejected();
         if (call->refused())
-            m_state.crashes.refused(server->key, m_state.clock.steadyNow());
+            m_state.crashes.connectionRefused(server->key, m_state.clock.steadyNow());
         end = AttemptEnd::NotRun;
     } else {
         m_maybeRan = true;
@@ -354,7 +354,7 @@
     const unsigned status = m_call->head().result_int();
     const auto parsed = platform::readServerAnswer(status, m_call->head());
     if (parsed.wrongServer)
-        serving::ServerTable::replaced(*server);
+        serving::ServerTable::markReplaced(*server);
     if (parsed.notRun) {
         // The rest of the answer is read so that the connection can be reused.
         const BodyRead rest = co_await m_call->readBody(m_deadline);
@@ -385,7 +385,7 @@
     if (m_usageCounted || m_customer == nullptr || !m_state.commonTime.known())
         return;
     m_usageCounted = true;
-    m_state.usage.began(m_customer->name, m_state.commonTime.at(m_state.clock.steadyNow()));
+    m_state.usage.requestStarted(m_customer->name, m_state.commonTime.at(m_state.clock.steadyNow()));
 }
 
 void RequestRelay::watchForStall(const serving::ServerStatePtr &server)
@@ -410,7 +410,7 @@
     // The read rate of the engine can be measured only if no other prompt was ahead.
     if (m_unreadTokens <= 0 || m_tokensAhead > 0)
         return;
-    m_state.demand.sawPromptRead(m_demand.service->name, m_unreadTokens,
+    m_state.demand.promptRead(m_demand.service->name, m_unreadTokens,
                                  m_state.clock.steadyNow() - m_sentAt);
 }
 
--- a/src/snipestall/gateway/request_relay_admission.cpp
+++ b/src/snipestall/gateway/request_relay_admission.cpp
@@ -115,9 +115,9 @@
     m_demand.mayRepeat = m_route->mayRepeat();
     m_lastEvent = m_header.resumeAfter;
     m_fingerprint = fingerprintOf(request, m_customer);
-    if (!m_state.crashes.isInnocent(m_fingerprint))
-        m_demand.untried = m_fingerprint;
-    if (m_state.crashes.blocked(m_fingerprint, m_received))
+    if (!m_state.crashes.wasAnswered(m_fingerprint))
+        m_demand.unansweredFingerprint = m_fingerprint;
+    if (m_state.crashes.isBlocked(m_fingerprint, m_received))
         co_return co_await refuse(refusal(503, RetryAfterCrashes), "ends-servers");
     if (m_customer == nullptr)
         co_return true;
--- a/src/snipestall/gateway/request_relay_answer.cpp
+++ b/src/snipestall/gateway/request_relay_answer.cpp
@@ -55,7 +55,7 @@
 void RequestRelay::handleWholeAnswer(serving::ServerState &server)
 {
     m_state.servers.answered(server);
-    m_state.crashes.answered(m_fingerprint, m_state.clock.steadyNow());
+    m_state.crashes.requestAnswered(m_fingerprint, m_state.clock.steadyNow());
 }
 
 Task<RequestRelay::AttemptEnd> RequestRelay::relayWhole(const serving::ServerStatePtr &server)
@@ -145,8 +145,8 @@
     while (true) {
         const BodyRead piece = co_await m_call->readBody(m_deadline);
         if (piece.kind == BodyRead::Kind::Bytes) {
-            server->heardAt = m_state.clock.steadyNow();
-            pace.event(server->heardAt);
+            server->lastByteAt = m_state.clock.steadyNow();
+            pace.event(server->lastByteAt);
             if (co_await forwardEvents(splitter.feed(piece.bytes)))
                 continue;
             m_call->abort();
@@ -162,7 +162,7 @@
     }
     handleWholeAnswer(*server);
     if (const auto pause = pace.median())
-        server->speed.sawPause(*pause);
+        server->speed.addStreamPause(*pause);
     if (!m_answer.begun() && !co_await m_answer.beginEvents(answerHead()))
         co_return AttemptEnd::Final;
     m_keepAlive = co_await m_answer.completeEvents() && m_keepAlive;
--- a/src/snipestall/gateway/request_relay_move.cpp
+++ b/src/snipestall/gateway/request_relay_move.cpp
@@ -61,7 +61,7 @@
 {
     const SteadyTime now = m_state.clock.steadyNow();
     // A run that has not begun has no memory to move.
-    if (!m_lastEvent || m_callerGone || !m_state.retries.repeat(m_demand.service->name, now))
+    if (!m_lastEvent || m_callerGone || !m_state.retries.tryRepeat(m_demand.service->name, now))
         return;
     serving::Demand demand = m_demand;
     // The run may continue in any data centre, because only free capacity matters.
@@ -83,11 +83,11 @@
     co_return m_move != nullptr && m_move->moved;
 }
 
-serving::Placed RequestRelay::finishMove()
+serving::ServerChoice RequestRelay::finishMove()
 {
     const auto move = std::exchange(m_move, nullptr);
     m_memoryFrom = move->moved->memoryFrom;
-    serving::Placed placed;
+    serving::ServerChoice placed;
     placed.server = move->target;
     return placed;
 }
--- a/src/snipestall/gateway/server_probe.cpp
+++ b/src/snipestall/gateway/server_probe.cpp
@@ -47,10 +47,10 @@
             co_await wire::sleepFor(pause);
         if (co_await refusesConnections(state.io, server->info.address)) {
             logEvent(events::ServerEnded, { { "server", server->info.id } });
-            state.crashes.refused(server->key, state.clock.steadyNow());
+            state.crashes.connectionRefused(server->key, state.clock.steadyNow());
             co_return;
         }
-        state.crashes.stillListens(server->key);
+        state.crashes.foundRunning(server->key);
     }
 }
 
--- a/src/snipestall/gateway/store_follower.cpp
+++ b/src/snipestall/gateway/store_follower.cpp
@@ -47,7 +47,7 @@
 
 std::int64_t bornMillis(const serving::BackendServer &server)
 {
-    return std::chrono::duration_cast<milliseconds>(server.born.time_since_epoch()).count();
+    return std::chrono::duration_cast<milliseconds>(server.startedAt.time_since_epoch()).count();
 }
 
 } // namespace
@@ -90,7 +90,7 @@
     if (feed->copy.table() != table || !feed->loaded)
         return;
     if (feed == &m_list && changes.to > feed->copy.version())
-        m_lapse.heard(feed->copy.age(m_state.clock.steadyNow()), m_state.clock.steadyNow());
+        m_lapse.listReceived(feed->copy.age(m_state.clock.steadyNow()), m_state.clock.steadyNow());
     const std::int64_t known = feed->copy.version();
     if (feed->copy.advanceFromPeer(changes)) {
         for (const platform::StoredRow &row : changes.rows) {
@@ -168,7 +168,7 @@
     const SteadyTime now = m_state.clock.steadyNow();
     m_state.commonTime.observeStoreClock(storeTime, now);
     if (&feed == &m_list)
-        m_lapse.heard(feed.copy.age(now), now);
+        m_lapse.listReceived(feed.copy.age(now), now);
     if (!feed.storeUnavailable)
         return;
     feed.storeUnavailable = false;
@@ -248,11 +248,11 @@
         // The previous value of the row is overwritten. A running server writes its entry again
         // with its next heartbeat. A server that has left meanwhile does not, and nothing else
         // would remove this row.
-        m_state.servers.lapse(row.name.key, now + m_lapse.length());
+        m_state.servers.markExpired(row.name.key, now + m_lapse.length());
         return;
     }
-    const serving::Listing listing = m_state.servers.put(*server, now);
-    if (listing.kind == serving::Listing::Kind::Added)
+    const serving::PutResult listing = m_state.servers.put(*server, now);
+    if (listing.kind == serving::PutResult::Kind::Added)
         m_state.serverAddedAt = now;
     if (listing.ended)
         forget(*listing.ended, "restarted");
@@ -274,7 +274,7 @@
     auto server = platform::decodeServer(row.name.key, row.value);
     // If such an entry were accepted as the newest incarnation, it would block the real ones
     // permanently.
-    if (server && server->born > m_state.clock.wallNow() + LargestClockError)
+    if (server && server->startedAt > m_state.clock.wallNow() + LargestClockError)
         return fail(ErrorKind::InvalidArgument,
                     "server " + row.name.key + " has a start time in the future");
     return server;
@@ -305,8 +305,8 @@
 void StoreFollower::handleRemoval(const std::string &id)
 {
     const SteadyTime now = m_state.clock.steadyNow();
-    if (m_lapse.open(now)) {
-        m_state.servers.lapse(id, m_lapse.until());
+    if (m_lapse.isOpen(now)) {
+        m_state.servers.markExpired(id, m_lapse.until());
         return;
     }
     if (const auto gone = m_state.servers.remove(id))
@@ -315,7 +315,7 @@
 
 void StoreFollower::forget(const serving::ServerState &server, const char *reason)
 {
-    m_state.placement.serverGone(server.key);
+    m_state.placement.forgetServer(server.key);
     m_state.backends.drop(server.key);
     logEvent(events::ServerDelisted,
              { { "server", server.info.id },
@@ -326,7 +326,7 @@
 void StoreFollower::updateLapsedServers()
 {
     const SteadyTime now = m_state.clock.steadyNow();
-    for (const auto &gone : m_state.servers.expireLapsed(now))
+    for (const auto &gone : m_state.servers.removeExpired(now))
         forget(*gone, "lapsed");
     for (const auto &back : m_state.servers.readmit(now))
         logEvent(
--- a/src/snipestall/serving/crash_watch.cpp
+++ b/src/snipestall/serving/crash_watch.cpp
@@ -5,7 +5,7 @@
 
 namespace snipestall::serving {
 
-bool CrashWatch::broke(std::uint64_t fingerprint, const std::string &server, SteadyTime now)
+bool CrashWatch::connectionBroke(std::uint64_t fingerprint, const std::string &server, SteadyTime now)
 {
     auto &requests = m_brokenRequests[server];
     std::erase_if(requests,
@@ -14,17 +14,17 @@
     return m_checking.insert(server).second;
 }
 
-bool CrashWatch::inDoubt(const std::string &server) const
+bool CrashWatch::isBeingChecked(const std::string &server) const
 {
     return m_checking.contains(server);
 }
 
-void CrashWatch::stillListens(const std::string &server)
+void CrashWatch::foundRunning(const std::string &server)
 {
     m_checking.erase(server);
 }
 
-void CrashWatch::refused(const std::string &server, SteadyTime now)
+void CrashWatch::connectionRefused(const std::string &server, SteadyTime now)
 {
     m_checking.erase(server);
     const auto found = m_brokenRequests.find(server);
@@ -34,11 +34,11 @@
     m_brokenRequests.erase(found);
     for (const BrokenRequest &request : requests) {
         if (now - request.time <= SuspectPeriod)
-            reported({ request.fingerprint, server }, now);
+            addReport({ request.fingerprint, server }, now);
     }
 }
 
-void CrashWatch::reported(const CrashReport &report, SteadyTime now)
+void CrashWatch::addReport(const CrashReport &report, SteadyTime now)
 {
     std::erase_if(m_crashedServers,
                   [now](const auto &entry) { return now - entry.second.last > BlockPeriod; });
@@ -58,32 +58,32 @@
 // Failure: a rack loses its power while a call that many callers send with the same empty body is
 // in flight at three of its servers. It shows as that call being refused to all callers for
 // minutes.
-void CrashWatch::answered(std::uint64_t fingerprint, SteadyTime now)
+void CrashWatch::requestAnswered(std::uint64_t fingerprint, SteadyTime now)
 {
     m_answered.add(fingerprint, now);
     m_crashedServers.erase(fingerprint);
 }
 
-bool CrashWatch::isInnocent(std::uint64_t fingerprint) const
+bool CrashWatch::wasAnswered(std::uint64_t fingerprint) const
 {
     return m_answered.contains(fingerprint);
 }
 
-bool CrashWatch::hasEndedServer(std::uint64_t fingerprint) const
+bool CrashWatch::hasCrashedServer(std::uint64_t fingerprint) const
 {
     return m_crashedServers.contains(fingerprint);
 }
 
-bool CrashWatch::blocked(std::uint64_t fingerprint, SteadyTime now) const
+bool CrashWatch::isBlocked(std::uint64_t fingerprint, SteadyTime now) const
 {
-    if (isInnocent(fingerprint))
+    if (wasAnswered(fingerprint))
         return false;
     const auto found = m_crashedServers.find(fingerprint);
     return found != m_crashedServers.end() && found->second.servers.size() >= BlockThreshold
         && now - found->second.last <= BlockPeriod;
 }
 
-std::vector<CrashReport> CrashWatch::recent(SteadyTime now) const
+std::vector<CrashReport> CrashWatch::recentReports(SteadyTime now) const
 {
     std::vector<CrashReport> reports;
     for (const RecentReport &each : m_recentReports) {
--- a/src/snipestall/serving/crash_watch_test.cpp
+++ b/src/snipestall/serving/crash_watch_test.cpp
@@ -12,8 +12,8 @@
 
 void crash(CrashWatch &watch, const std::string &server, SteadyTime now)
 {
-    watch.broke(Crashing, server, now);
-    watch.refused(server, now + 200ms);
+    watch.connectionBroke(Crashing, server, now);
+    watch.connectionRefused(server, now + 200ms);
 }
 
 // Guards against one caller who repeats a request that crashes every server that starts it: every
@@ -23,11 +23,11 @@
     CrashWatch watch;
     crash(watch, "a", Start);
     crash(watch, "b", Start + 1s);
-    EXPECT_FALSE(watch.blocked(Crashing, Start + 2s));
+    EXPECT_FALSE(watch.isBlocked(Crashing, Start + 2s));
     crash(watch, "c", Start + 2s);
-    EXPECT_TRUE(watch.blocked(Crashing, Start + 3s));
-    EXPECT_FALSE(watch.blocked(Crashing + 1, Start + 3s));
-    EXPECT_FALSE(watch.blocked(Crashing, Start + 200s));
+    EXPECT_TRUE(watch.isBlocked(Crashing, Start + 3s));
+    EXPECT_FALSE(watch.isBlocked(Crashing + 1, Start + 3s));
+    EXPECT_FALSE(watch.isBlocked(Crashing, Start + 200s));
 }
 
 // Guards against refusing a harmless request for minutes: its answers were lost on the network
@@ -36,13 +36,13 @@
 {
     CrashWatch watch;
     for (const char *server : { "a", "b", "c", "d" })
-        watch.broke(Crashing, server, Start);
-    EXPECT_FALSE(watch.blocked(Crashing, Start));
+        watch.connectionBroke(Crashing, server, Start);
+    EXPECT_FALSE(watch.isBlocked(Crashing, Start));
     // A server that refuses connections much later ended for another reason.
-    watch.refused("a", Start + 5s);
-    watch.refused("b", Start + 5s);
-    watch.refused("c", Start + 5s);
-    EXPECT_FALSE(watch.blocked(Crashing, Start + 5s));
+    watch.connectionRefused("a", Start + 5s);
+    watch.connectionRefused("b", Start + 5s);
+    watch.connectionRefused("c", Start + 5s);
+    EXPECT_FALSE(watch.isBlocked(Crashing, Start + 5s));
 }
 
 // Guards against refusing a harmless call to all callers for minutes: many callers send the same
@@ -50,18 +50,18 @@
 TEST(CrashWatch, AnAnsweredRequestIsNotBlocked)
 {
     CrashWatch watch;
-    watch.answered(Crashing, Start);
+    watch.requestAnswered(Crashing, Start);
     for (const char *server : { "a", "b", "c" })
         crash(watch, server, Start + 1s);
-    EXPECT_FALSE(watch.blocked(Crashing, Start + 2s));
+    EXPECT_FALSE(watch.isBlocked(Crashing, Start + 2s));
     // The same applies if the answer arrives after the crashes, from a server that did not crash.
     for (const char *server : { "a", "b", "c" }) {
-        watch.broke(Crashing + 1, server, Start + 1s);
-        watch.refused(server, Start + 1s);
+        watch.connectionBroke(Crashing + 1, server, Start + 1s);
+        watch.connectionRefused(server, Start + 1s);
     }
-    EXPECT_TRUE(watch.blocked(Crashing + 1, Start + 2s));
-    watch.answered(Crashing + 1, Start + 2s);
-    EXPECT_FALSE(watch.blocked(Crashing + 1, Start + 2s));
+    EXPECT_TRUE(watch.isBlocked(Crashing + 1, Start + 2s));
+    watch.requestAnswered(Crashing + 1, Start + 2s);
+    EXPECT_FALSE(watch.isBlocked(Crashing + 1, Start + 2s));
 }
 
 // All streams of a server break at once. One check whether the server has crashed is enough for all
@@ -69,16 +69,16 @@
 TEST(CrashWatch, AServerWhoseConnectionsBrokeIsCheckedOnce)
 {
     CrashWatch watch;
-    EXPECT_TRUE(watch.broke(1, "a", Start));
-    EXPECT_FALSE(watch.broke(2, "a", Start));
-    EXPECT_TRUE(watch.inDoubt("a"));
-    watch.stillListens("a");
-    EXPECT_FALSE(watch.inDoubt("a"));
-    EXPECT_TRUE(watch.broke(3, "a", Start + 1s));
-    watch.refused("a", Start + 1s);
-    EXPECT_FALSE(watch.inDoubt("a"));
+    EXPECT_TRUE(watch.connectionBroke(1, "a", Start));
+    EXPECT_FALSE(watch.connectionBroke(2, "a", Start));
+    EXPECT_TRUE(watch.isBeingChecked("a"));
+    watch.foundRunning("a");
+    EXPECT_FALSE(watch.isBeingChecked("a"));
+    EXPECT_TRUE(watch.connectionBroke(3, "a", Start + 1s));
+    watch.connectionRefused("a", Start + 1s);
+    EXPECT_FALSE(watch.isBeingChecked("a"));
     for (const std::uint64_t fingerprint : { 1, 2, 3 })
-        EXPECT_TRUE(watch.hasEndedServer(fingerprint));
+        EXPECT_TRUE(watch.hasCrashedServer(fingerprint));
 }
 
 TEST(CrashWatch, ReportsOfAllInstancesCount)
@@ -88,19 +88,19 @@
     crash(first, "a", Start);
     crash(first, "b", Start);
     crash(second, "c", Start);
-    for (const CrashReport &report : first.recent(Start + 1s))
-        second.reported(report, Start + 1s);
-    EXPECT_TRUE(second.blocked(Crashing, Start + 1s));
-    EXPECT_TRUE(first.recent(Start + 10s).empty());
+    for (const CrashReport &report : first.recentReports(Start + 1s))
+        second.addReport(report, Start + 1s);
+    EXPECT_TRUE(second.isBlocked(Crashing, Start + 1s));
+    EXPECT_TRUE(first.recentReports(Start + 10s).empty());
 }
 
 TEST(CrashWatch, AReportIsSentOnOnlyOnce)
 {
     CrashWatch watch;
-    watch.reported({ Crashing, "a" }, Start);
-    watch.reported({ Crashing, "a" }, Start + 2s);
-    EXPECT_EQ(watch.recent(Start + 1s).size(), 1U);
-    EXPECT_TRUE(watch.recent(Start + 4s).empty());
+    watch.addReport({ Crashing, "a" }, Start);
+    watch.addReport({ Crashing, "a" }, Start + 2s);
+    EXPECT_EQ(watch.recentReports(Start + 1s).size(), 1U);
+    EXPECT_TRUE(watch.recentReports(Start + 4s).empty());
 }
 
 } // namespace
--- a/src/snipestall/serving/demand_meter.cpp
+++ b/src/snipestall/serving/demand_meter.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-void DemandMeter::sawPromptRead(const std::string &service, double tokens, Seconds took)
+void DemandMeter::promptRead(const std::string &service, double tokens, Seconds took)
 {
     if (tokens < MinPromptTokens || took.count() <= 0)
         return;
@@ -64,7 +64,7 @@
     m_ownWork[service] += took.count() / std::max(slots, 1);
 }
 
-void DemandMeter::peerWork(const std::string &peer, std::uint64_t series, const ServiceWork &work)
+void DemandMeter::updatePeerWork(const std::string &peer, std::uint64_t series, const ServiceWork &work)
 {
     Peer &known = m_peers[peer];
     if (known.series != series) {
--- a/src/snipestall/serving/demand_meter_test.cpp
+++ b/src/snipestall/serving/demand_meter_test.cpp
@@ -13,9 +13,9 @@
 {
     DemandMeter meter;
     for (int i = 0; i < 7; ++i)
-        meter.sawPromptRead("lm", 10000, 100ms);
+        meter.promptRead("lm", 10000, 100ms);
     EXPECT_EQ(meter.readRate("lm"), 0);
-    meter.sawPromptRead("lm", 10000, 100ms);
+    meter.promptRead("lm", 10000, 100ms);
     EXPECT_EQ(meter.readRate("lm"), 100000);
 }
 
@@ -23,7 +23,7 @@
 {
     DemandMeter meter;
     for (int i = 0; i < 8; ++i)
-        meter.sawPromptRead("lm", 10000, 100ms);
+        meter.promptRead("lm", 10000, 100ms);
     SteadyTime now = Start;
     meter.sample(now);
     for (int i = 0; i < 60; ++i) {
@@ -41,9 +41,9 @@
 {
     DemandMeter meter;
     for (int i = 0; i < 8; ++i)
-        meter.sawPromptRead("lm", 10000, 100ms);
+        meter.promptRead("lm", 10000, 100ms);
     for (int i = 0; i < 100; ++i)
-        meter.sawPromptRead("lm", 10000, 300ms);
+        meter.promptRead("lm", 10000, 300ms);
     EXPECT_GE(meter.readRate("lm"), 90000);
 }
 
@@ -51,11 +51,11 @@
 {
     DemandMeter meter;
     SteadyTime now = Start;
-    meter.peerWork("other", 1, { { "lm", 50 } });
+    meter.updatePeerWork("other", 1, { { "lm", 50 } });
     meter.sample(now);
     for (int i = 1; i <= 60; ++i) {
         now += 100ms;
-        meter.peerWork("other", i < 30 ? 1 : 2, { { "lm", i < 30 ? 50 + i * 0.1 : i * 0.1 } });
+        meter.updatePeerWork("other", i < 30 ? 1 : 2, { { "lm", i < 30 ? 50 + i * 0.1 : i * 0.1 } });
         meter.sample(now);
     }
     EXPECT_LE(meter.needed("lm"), 1.1);
--- a/src/snipestall/serving/duty_lease.cpp
+++ b/src/snipestall/serving/duty_lease.cpp
@@ -77,7 +77,7 @@
     return LeaseWrite { { std::string(), m_row.fence }, m_version };
 }
 
-void DutyLease::sawRow(const LeaseRow &row, std::int64_t version, SteadyTime now)
+void DutyLease::rowRead(const LeaseRow &row, std::int64_t version, SteadyTime now)
 {
     if (!m_known || version != m_version)
         m_versionSeenAt = now;
@@ -92,7 +92,7 @@
         m_validUntil = {};
 }
 
-void DutyLease::wrote(const LeaseWrite &write, std::int64_t version, SteadyTime sentAt)
+void DutyLease::rowWritten(const LeaseWrite &write, std::int64_t version, SteadyTime sentAt)
 {
     m_known = true;
     m_mustRead = false;
@@ -104,12 +104,12 @@
     m_validUntil = isOwn() ? sentAt + m_length : SteadyTime {};
 }
 
-void DutyLease::writeUnknown()
+void DutyLease::writeOutcomeUnknown()
 {
     m_mustRead = true;
 }
 
-void DutyLease::holderHeard(SteadyTime now)
+void DutyLease::holderReported(SteadyTime now)
 {
     m_holderReportedAt = now;
 }
--- a/src/snipestall/serving/duty_lease_test.cpp
+++ b/src/snipestall/serving/duty_lease_test.cpp
@@ -34,12 +34,12 @@
 void step(DutyLease &lease, Row &row, SteadyTime now)
 {
     if (lease.wantsRead(now))
-        lease.sawRow(row.row(), row.version(), now);
+        lease.rowRead(row.row(), row.version(), now);
     else if (const auto write = lease.wantsWrite(now)) {
         if (row.write(*write))
-            lease.wrote(*write, row.version(), now);
+            lease.rowWritten(*write, row.version(), now);
         else
-            lease.writeUnknown();
+            lease.writeOutcomeUnknown();
     }
 }
 
@@ -69,7 +69,7 @@
         other.setCandidate(false, now);
         step(candidate, row, now);
         if (candidate.holds(now))
-            other.holderHeard(now);
+            other.holderReported(now);
         reads += other.wantsRead(now) ? 1 : 0;
         step(other, row, now);
     }
@@ -125,7 +125,7 @@
     step(lease, row, Start);
     step(lease, row, Start + 100ms);
     ASSERT_TRUE(lease.holds(Start + 100ms));
-    lease.writeUnknown();
+    lease.writeOutcomeUnknown();
     EXPECT_FALSE(lease.holds(Start + 100ms + 2s));
 }
 
@@ -139,7 +139,7 @@
     const auto write = lease.wantsWrite(Start + 100ms);
     ASSERT_TRUE(write);
     row.write(*write);
-    lease.writeUnknown();
+    lease.writeOutcomeUnknown();
     SteadyTime now = Start + 1200ms;
     for (; now < Start + 3s; now += 100ms)
         step(lease, row, now);
@@ -168,7 +168,7 @@
     const auto release = first.release();
     ASSERT_TRUE(release);
     ASSERT_TRUE(row.write(*release));
-    first.wrote(*release, row.version(), Start + 200ms);
+    first.rowWritten(*release, row.version(), Start + 200ms);
     EXPECT_FALSE(first.holds(Start + 200ms));
     DutyLease second("b/1", 3s);
     step(second, row, Start + 300ms);
--- a/src/snipestall/serving/lapse_window.cpp
+++ b/src/snipestall/serving/expiry_window.cpp
@@ -1,15 +1,15 @@
-#include "snipestall/serving/lapse_window.hpp"
+#include "snipestall/serving/expiry_window.hpp"
 
 #include <algorithm>
 
 namespace snipestall::serving {
 
-LapseWindow::LapseWindow(std::chrono::milliseconds heartbeat, std::chrono::milliseconds drain)
+ExpiryWindow::ExpiryWindow(std::chrono::milliseconds heartbeat, std::chrono::milliseconds drain)
     : m_minGap(heartbeat * MinGapHeartbeats)
     , m_length(std::min(RelistTime, drain - DrainMargin))
 { }
 
-void LapseWindow::heard(std::chrono::milliseconds age, SteadyTime now)
+void ExpiryWindow::listReceived(std::chrono::milliseconds age, SteadyTime now)
 {
     if (age > m_minGap)
         m_until = now + m_length;
--- a/src/snipestall/serving/lapse_window_test.cpp
+++ b/src/snipestall/serving/expiry_window_test.cpp
@@ -1,4 +1,4 @@
-#include "snipestall/serving/lapse_window.hpp"
+#include "snipestall/serving/expiry_window.hpp"
 
 #include <gtest/gtest.h>
 
@@ -14,33 +14,33 @@
 // as gone, and ids that are gone are never accepted again.
 TEST(LapseWindow, OpensAfterAGapWhateverEndsIt)
 {
-    LapseWindow window(1200ms, 2000ms);
-    EXPECT_FALSE(window.open(Start));
-    window.heard(4500ms, Start);
-    EXPECT_TRUE(window.open(Start + 1300ms));
-    EXPECT_FALSE(window.open(Start + 1400ms));
+    ExpiryWindow window(1200ms, 2000ms);
+    EXPECT_FALSE(window.isOpen(Start));
+    window.listReceived(4500ms, Start);
+    EXPECT_TRUE(window.isOpen(Start + 1300ms));
+    EXPECT_FALSE(window.isOpen(Start + 1400ms));
 }
 
 TEST(LapseWindow, StaysClosedWhileTheListIsFresh)
 {
-    LapseWindow window(1200ms, 2000ms);
+    ExpiryWindow window(1200ms, 2000ms);
     for (int i = 0; i < 100; ++i)
-        window.heard(1900ms, Start + i * 100ms);
-    EXPECT_FALSE(window.open(Start + 10s));
+        window.listReceived(1900ms, Start + i * 100ms);
+    EXPECT_FALSE(window.isOpen(Start + 10s));
 }
 
 TEST(LapseWindow, IsNotProlongedByAFreshList)
 {
-    LapseWindow window(1200ms, 2000ms);
-    window.heard(4500ms, Start);
-    window.heard(200ms, Start + 1s);
-    EXPECT_FALSE(window.open(Start + 1400ms));
+    ExpiryWindow window(1200ms, 2000ms);
+    window.listReceived(4500ms, Start);
+    window.listReceived(200ms, Start + 1s);
+    EXPECT_FALSE(window.isOpen(Start + 1400ms));
 }
 
 TEST(LapseWindow, IsNoLongerThanServersNeed)
 {
-    LapseWindow window(1200ms, 9000ms);
-    window.heard(4500ms, Start);
+    ExpiryWindow window(1200ms, 9000ms);
+    window.listReceived(4500ms, Start);
     EXPECT_EQ(window.until(), Start + 2s);
 }
 
--- a/src/snipestall/serving/fleet_planner.cpp
+++ b/src/snipestall/serving/fleet_planner.cpp
@@ -20,7 +20,7 @@
         m_dataCentres[dataCentre].usual = count;
 }
 
-void FleetPlanner::pressure(double partOfTarget, SteadyTime now)
+void FleetPlanner::updatePressure(double partOfTarget, SteadyTime now)
 {
     if (partOfTarget >= ShrinkThreshold || m_lowPressureSince == SteadyTime {})
         m_lowPressureSince = now;
@@ -59,7 +59,7 @@
     // only one data centre, it carries all of the demand itself.
     const double others = std::max(dataCentres - 1, 1.0);
     const int each = static_cast<int>(std::ceil(total / others));
-    return std::clamp(each, m_policy.least, m_policy.most);
+    return std::clamp(each, m_policy.minServers, m_policy.maxServers);
 }
 
 std::vector<std::string> FleetPlanner::dataCentresByPrice() const
@@ -110,7 +110,7 @@
         needed = static_cast<int>(std::ceil(demand.servers / MaxUtilisation));
     }
     const int missing = std::max(needed - reclaimable, 0);
-    const int insurance = hasShortage() ? insuranceNeeded(counts, demand.serversNow) : 0;
+    const int insurance = hasShortage() ? insuranceNeeded(counts, demand.currentServers) : 0;
     if (insurance <= missing)
         return missing;
     m_estimate = FleetEstimate::Insurance;
@@ -132,7 +132,7 @@
         for (const std::string &dataCentre : order) {
             const auto found = counts.find(dataCentre);
             const int present = found == counts.end() ? 0 : found->second.reclaimable;
-            if (missing == 0 || wanted[dataCentre] + present >= m_policy.most)
+            if (missing == 0 || wanted[dataCentre] + present >= m_policy.maxServers)
                 continue;
             ++wanted[dataCentre];
             --missing;
--- a/src/snipestall/serving/fleet_planner_test.cpp
+++ b/src/snipestall/serving/fleet_planner_test.cpp
@@ -14,8 +14,8 @@
 ScalingPolicy policy()
 {
     ScalingPolicy made;
-    made.least = 1;
-    made.most = 10;
+    made.minServers = 1;
+    made.maxServers = 10;
     made.bootTime = 4s;
     made.reclaimablePrice = 0.2;
     return made;
@@ -121,12 +121,12 @@
 {
     SteadyTime now = Start;
     for (int i = 0; i < 400; ++i, now += 300ms)
-        m_planner.pressure(0.9, now);
+        m_planner.updatePressure(0.9, now);
     EXPECT_EQ(m_planner.scale(), 4);
     planAndFulfil(m_unknown, now);
     EXPECT_EQ(m_counts["a"].reclaimable, 10);
     for (int i = 0; i < 2000; ++i, now += 300ms)
-        m_planner.pressure(0.1, now);
+        m_planner.updatePressure(0.1, now);
     EXPECT_EQ(m_planner.scale(), 1);
 }
 
@@ -138,7 +138,7 @@
     const FleetDemand demand { 6, 6, true };
     SteadyTime now = Start;
     for (int i = 0; i < 60; ++i, now += 300ms)
-        m_planner.pressure(0.9, now);
+        m_planner.updatePressure(0.9, now);
     ASSERT_GT(m_planner.scale(), 1.5);
     for (auto &[dataCentre, count] : m_counts)
         count = { 0, dataCentre == "a" ? 0 : 5 };
@@ -224,15 +224,15 @@
     reclaim("a", Start + 20s);
     SteadyTime now = Start + 21s;
     for (int i = 0; i < 60; ++i, now += 300ms)
-        m_planner.pressure(0.9, now);
+        m_planner.updatePressure(0.9, now);
     EXPECT_EQ(m_planner.scale(), 1);
 }
 
 TEST_F(FleetPlannerTest, OnePeakDoesNotGrowTheFleetTwice)
 {
-    m_planner.pressure(0.9, Start);
+    m_planner.updatePressure(0.9, Start);
     const double grown = m_planner.scale();
-    m_planner.pressure(0.9, Start + 1s);
+    m_planner.updatePressure(0.9, Start + 1s);
     EXPECT_EQ(m_planner.scale(), grown);
 }
 
--- a/src/snipestall/serving/latency_pressure.cpp
+++ b/src/snipestall/serving/latency_pressure.cpp
@@ -13,7 +13,7 @@
         samples.pop_front();
 }
 
-double LatencyPressure::highest(const std::string &service, SteadyTime now)
+double LatencyPressure::percentile90(const std::string &service, SteadyTime now)
 {
     constexpr double Quantile = 0.9;
     auto &samples = m_services[service];
--- a/src/snipestall/serving/member_usage.cpp
+++ b/src/snipestall/serving/member_usage.cpp
@@ -4,13 +4,13 @@
 
 namespace snipestall::serving {
 
-void MemberUsage::closed(const std::string &process, std::int64_t window)
+void MemberUsage::memberClosed(const std::string &process, std::int64_t window)
 {
     Member &member = m_members[process];
     member.closed = std::max(member.closed, window);
 }
 
-std::vector<std::string> MemberUsage::finalIn(std::int64_t window) const
+std::vector<std::string> MemberUsage::membersFinalFor(std::int64_t window) const
 {
     std::vector<std::string> processes;
     for (const auto &[process, member] : m_members) {
@@ -20,7 +20,7 @@
     return processes;
 }
 
-void MemberUsage::stored(const std::vector<std::string> &processes, std::int64_t window)
+void MemberUsage::markStored(const std::vector<std::string> &processes, std::int64_t window)
 {
     for (const std::string &process : processes) {
         const auto member = m_members.find(process);
@@ -46,7 +46,7 @@
     m_lastHubReport = now;
 }
 
-bool MemberUsage::leftToHub(std::chrono::milliseconds sinceEnd, SteadyTime now) const
+bool MemberUsage::isLeftToHub(std::chrono::milliseconds sinceEnd, SteadyTime now) const
 {
     return sinceEnd < MemberStoresAfter && now - m_lastHubReport < HubTimeout;
 }
--- a/src/snipestall/serving/member_usage_test.cpp
+++ b/src/snipestall/serving/member_usage_test.cpp
@@ -15,10 +15,10 @@
 TEST(MemberUsage, OnlyFinalCountsAreConfirmedAsStored)
 {
     MemberUsage usage;
-    usage.closed("done/1", 7);
-    usage.closed("late/1", 6);
-    EXPECT_EQ(usage.finalIn(7), std::vector<std::string> { "done/1" });
-    usage.stored(usage.finalIn(7), 7);
+    usage.memberClosed("done/1", 7);
+    usage.memberClosed("late/1", 6);
+    EXPECT_EQ(usage.membersFinalFor(7), std::vector<std::string> { "done/1" });
+    usage.markStored(usage.membersFinalFor(7), 7);
     EXPECT_EQ(usage.storedUpTo("done/1"), 7);
     EXPECT_EQ(usage.storedUpTo("late/1"), 0);
     EXPECT_EQ(usage.storedUpTo("unknown/1"), 0);
@@ -29,14 +29,14 @@
 TEST(MemberUsage, AMemberStoresItsCountsIfItsHubDoesNotInTime)
 {
     MemberUsage usage;
-    EXPECT_FALSE(usage.leftToHub(0ms, Start));
+    EXPECT_FALSE(usage.isLeftToHub(0ms, Start));
     usage.hubStored(6, Start);
     EXPECT_TRUE(usage.storedByHub(6));
     EXPECT_FALSE(usage.storedByHub(7));
-    EXPECT_TRUE(usage.leftToHub(500ms, Start + 500ms));
-    EXPECT_FALSE(usage.leftToHub(1100ms, Start + 1100ms));
+    EXPECT_TRUE(usage.isLeftToHub(500ms, Start + 500ms));
+    EXPECT_FALSE(usage.isLeftToHub(1100ms, Start + 1100ms));
     usage.hubStored(6, Start + 1400ms);
-    EXPECT_FALSE(usage.leftToHub(1500ms, Start + 1500ms));
+    EXPECT_FALSE(usage.isLeftToHub(1500ms, Start + 1500ms));
 }
 
 TEST(MemberUsage, AHubThatHasStoredLessChangesNothing)
@@ -50,10 +50,10 @@
 TEST(MemberUsage, StoppedMembersAreRemoved)
 {
     MemberUsage usage;
-    usage.closed("gone/1", 3);
-    usage.closed("here/1", 9);
+    usage.memberClosed("gone/1", 3);
+    usage.memberClosed("here/1", 9);
     usage.dropBefore(6);
-    EXPECT_EQ(usage.finalIn(1), std::vector<std::string> { "here/1" });
+    EXPECT_EQ(usage.membersFinalFor(1), std::vector<std::string> { "here/1" });
 }
 
 } // namespace
--- a/src/snipestall/serving/peer_calls.cpp
+++ b/src/snipestall/serving/peer_calls.cpp
@@ -11,20 +11,20 @@
     , m_overlay(std::move(self), std::move(own))
 { }
 
-void PeerCalls::known(const std::string &peer, const OverlayPeer &info)
+void PeerCalls::addPeer(const std::string &peer, const OverlayPeer &info)
 {
     OverlayPeer &known = m_peers[peer].info;
     m_changed |= known != info;
     known = info;
 }
 
-void PeerCalls::moved(const std::string &peer)
+void PeerCalls::addressChanged(const std::string &peer)
 {
     m_changed = true;
     m_peers[peer].retryAt.reset();
 }
 
-void PeerCalls::heard(const std::string &peer, SteadyTime now)
+void PeerCalls::reportReceived(const std::string &peer, SteadyTime now)
 {
     Peer &known = m_peers[peer];
     known.lastReportAt = now;
@@ -33,7 +33,7 @@
     known.retryPause = InitialRetryPause;
 }
 
-void PeerCalls::answered(const std::string &peer)
+void PeerCalls::callAnswered(const std::string &peer)
 {
     m_peers[peer].calling = false;
     if (peer != m_triedHub)
@@ -43,7 +43,7 @@
     m_triedHub.clear();
 }
 
-std::uint64_t PeerCalls::stayAt(const std::string &hub)
+std::uint64_t PeerCalls::hubSession(const std::string &hub)
 {
     if (hub == m_hub)
         return m_session;
@@ -53,7 +53,7 @@
     return m_triedSession;
 }
 
-void PeerCalls::failed(const std::string &peer, SteadyTime now)
+void PeerCalls::callFailed(const std::string &peer, SteadyTime now)
 {
     Peer &known = m_peers[peer];
     known.calling = false;
@@ -107,7 +107,7 @@
     names.push_back(name);
 }
 
-std::vector<std::string> PeerCalls::due(SteadyTime now, bool hasMembers)
+std::vector<std::string> PeerCalls::dueCalls(SteadyTime now, bool hasMembers)
 {
     updateOverlay();
     std::vector<std::string> names;
--- a/src/snipestall/serving/peer_calls_test.cpp
+++ b/src/snipestall/serving/peer_calls_test.cpp
@@ -21,7 +21,7 @@
             const std::string name =
                 std::string(dataCentre) + (i < 10 ? "-0" : "-") + std::to_string(i);
             if (name != "a-19")
-                calls.known(name, { dataCentre });
+                calls.addPeer(name, { dataCentre });
         }
     }
     return calls;
@@ -29,7 +29,7 @@
 
 std::string onlyHub(PeerCalls &calls, SteadyTime now)
 {
-    const auto names = calls.due(now, false);
+    const auto names = calls.dueCalls(now, false);
     EXPECT_EQ(names.size(), 1U);
     return names.empty() ? std::string() : names.front();
 }
@@ -40,23 +40,23 @@
 {
     PeerCalls calls = member();
     const std::string first = onlyHub(calls, Start);
-    calls.failed(first, Start);
+    calls.callFailed(first, Start);
     const std::string second = onlyHub(calls, Start + 100ms);
     ASSERT_NE(second, first);
     for (SteadyTime now = Start + 100ms; now < Start + 10s; now += 100ms) {
-        for (const std::string &name : calls.due(now, false)) {
+        for (const std::string &name : calls.dueCalls(now, false)) {
             if (name == first) {
-                calls.failed(name, now);
+                calls.callFailed(name, now);
                 continue;
             }
             EXPECT_EQ(name, second);
         }
-        calls.heard(second, now);
-        calls.answered(second);
+        calls.reportReceived(second, now);
+        calls.callAnswered(second);
         EXPECT_EQ(calls.overlay().targets(), std::vector<std::string> { second });
     }
-    calls.heard(first, Start + 10s);
-    calls.due(Start + 10s, false);
+    calls.reportReceived(first, Start + 10s);
+    calls.dueCalls(Start + 10s, false);
     EXPECT_EQ(calls.overlay().targets(), std::vector<std::string> { first });
 }
 
@@ -65,7 +65,7 @@
 {
     PeerCalls calls = member();
     const std::string hub = onlyHub(calls, Start);
-    calls.abandoned(hub);
+    calls.callAbandoned(hub);
     EXPECT_EQ(onlyHub(calls, Start + 200ms), hub);
 }
 
@@ -75,15 +75,15 @@
 {
     PeerCalls calls = member();
     const std::string first = onlyHub(calls, Start);
-    calls.failed(first, Start);
+    calls.callFailed(first, Start);
     int tries = 0;
     for (SteadyTime now = Start + 100ms; now < Start + 20s; now += 100ms) {
-        for (const std::string &name : calls.due(now, false)) {
+        for (const std::string &name : calls.dueCalls(now, false)) {
             tries += name == first ? 1 : 0;
             if (name == first)
-                calls.failed(name, now);
+                calls.callFailed(name, now);
             else
-                calls.answered(name);
+                calls.callAnswered(name);
         }
     }
     EXPECT_GE(tries, 8);
@@ -96,15 +96,15 @@
 TEST(PeerCalls, EachChangeOfTheHubBeginsANewSession)
 {
     PeerCalls calls = member();
-    const std::uint64_t first = calls.stayAt("a-00");
-    calls.answered("a-00");
-    EXPECT_EQ(calls.stayAt("a-00"), first);
-    const std::uint64_t lost = calls.stayAt("a-01");
-    calls.failed("a-01", Start);
-    EXPECT_EQ(calls.stayAt("a-00"), first);
-    const std::uint64_t second = calls.stayAt("a-01");
-    calls.answered("a-01");
-    const std::uint64_t third = calls.stayAt("a-00");
+    const std::uint64_t first = calls.hubSession("a-00");
+    calls.callAnswered("a-00");
+    EXPECT_EQ(calls.hubSession("a-00"), first);
+    const std::uint64_t lost = calls.hubSession("a-01");
+    calls.callFailed("a-01", Start);
+    EXPECT_EQ(calls.hubSession("a-00"), first);
+    const std::uint64_t second = calls.hubSession("a-01");
+    calls.callAnswered("a-01");
+    const std::uint64_t third = calls.hubSession("a-00");
     EXPECT_EQ(std::set<std::uint64_t>({ first, lost, second, third }).size(), 4U);
 }
 
--- a/src/snipestall/serving/peer_loads.cpp
+++ b/src/snipestall/serving/peer_loads.cpp
@@ -4,7 +4,7 @@
 
 namespace snipestall::serving {
 
-void PeerLoads::report(const std::string &peer, Loads loads, SteadyTime now)
+void PeerLoads::update(const std::string &peer, Loads loads, SteadyTime now)
 {
     m_reports[peer] = { now, std::move(loads) };
 }
--- a/src/snipestall/serving/placement.cpp
+++ b/src/snipestall/serving/placement.cpp
@@ -93,7 +93,7 @@
     return healthy.empty() ? avoided : healthy;
 }
 
-std::optional<Placed> Placement::choose(const Demand &demand, SteadyTime now)
+std::optional<ServerChoice> Placement::choose(const Demand &demand, SteadyTime now)
 {
     const std::vector<ServerStatePtr> servers = candidates(demand, now);
     if (servers.empty())
@@ -117,12 +117,12 @@
     return std::max(0.0, prompt.promptTokens - cachedTokens);
 }
 
-Placed Placement::chooseForPrompt(const Demand &demand, const std::vector<ServerStatePtr> &servers,
+ServerChoice Placement::chooseForPrompt(const Demand &demand, const std::vector<ServerStatePtr> &servers,
                                   SteadyTime now) const
 {
     const Prompt &prompt = *demand.prompt;
     const std::string preferred = preferredServer(prompt, servers);
-    Placed best;
+    ServerChoice best;
     double bestCost = std::numeric_limits<double>::infinity();
     for (const ServerStatePtr &server : servers) {
         ServerLoad load = m_peers.at(server->key, now);
@@ -151,17 +151,17 @@
 // still spread. A request that has been answered may be sent by thousands of callers.
 double Placement::tieBreak(const Demand &demand, const ServerState &server)
 {
-    if (!demand.untried)
+    if (!demand.unansweredFingerprint)
         return m_random.uniform();
-    const std::uint64_t hash = stableHash(std::to_string(*demand.untried) + server.key);
+    const std::uint64_t hash = stableHash(std::to_string(*demand.unansweredFingerprint) + server.key);
     return static_cast<double>(hash)
         / static_cast<double>(std::numeric_limits<std::uint64_t>::max());
 }
 
-Placed Placement::chooseForCall(const Demand &demand, const std::vector<ServerStatePtr> &servers,
+ServerChoice Placement::chooseForCall(const Demand &demand, const std::vector<ServerStatePtr> &servers,
                                 SteadyTime now)
 {
-    Placed best;
+    ServerChoice best;
     double bestCost = std::numeric_limits<double>::infinity();
     for (const ServerStatePtr &server : servers) {
         ServerLoad load = m_peers.at(server->key, now);
@@ -180,7 +180,7 @@
     return best;
 }
 
-void Placement::sent(const Demand &demand, const std::string &server, SteadyTime now)
+void Placement::requestSent(const Demand &demand, const std::string &server, SteadyTime now)
 {
     if (!demand.prompt)
         return;
@@ -188,7 +188,7 @@
         m_cached.recordUse(demand.prompt->parts[i].id, server, now);
 }
 
-void Placement::serverGone(const std::string &server)
+void Placement::forgetServer(const std::string &server)
 {
     m_cached.forgetServer(server);
 }
--- a/src/snipestall/serving/placement_test.cpp
+++ b/src/snipestall/serving/placement_test.cpp
@@ -95,7 +95,7 @@
     for (int i = 0; i < 12; ++i) {
         const Demand demand = generation(42, 6000);
         const auto placed = m_placement.choose(demand, Start);
-        m_placement.sent(demand, placed->server->info.id, Start);
+        m_placement.requestSent(demand, placed->server->info.id, Start);
         placed->server->own.pendingTokens += placed->unreadTokens;
         ++placed->server->own.inFlight;
         used.insert(placed->server->info.id);
@@ -109,7 +109,7 @@
 TEST_F(PlacementTest, QueuedPromptsOfPeersCountLikeOwnOnes)
 {
     const auto first = m_placement.choose(generation(42, 6000), Start);
-    m_peers.report("peer", { { first->server->key, { 1, 50000, 50000 } } }, Start);
+    m_peers.update("peer", { { first->server->key, { 1, 50000, 50000 } } }, Start);
     const auto second = m_placement.choose(generation(42, 6000), Start);
     EXPECT_NE(second->server->info.id, first->server->info.id);
     const auto later = m_placement.choose(generation(42, 6000), Start + 10s);
@@ -145,7 +145,7 @@
         ServerSpeed &speed = m_servers.find("lm-" + std::to_string(i))->speed;
         const bool slow = usual->server->info.id == "lm-" + std::to_string(i);
         for (int stream = 0; stream < 10; ++stream)
-            speed.sawPause(slow ? 26ms : 20ms);
+            speed.addStreamPause(slow ? 26ms : 20ms);
     }
     m_servers.compareSpeeds();
     EXPECT_NE(m_placement.choose(generation(42, 40000), Start)->server->info.id,
@@ -178,7 +178,7 @@
     std::set<std::string> used;
     for (std::uint64_t fingerprint = 1; fingerprint <= 40; ++fingerprint) {
         Demand demand = call();
-        demand.untried = fingerprint;
+        demand.unansweredFingerprint = fingerprint;
         const std::string server = m_placement.choose(demand, Start)->server->key;
         EXPECT_EQ(other.choose(demand, Start)->server->key, server);
         used.insert(server);
--- a/src/snipestall/serving/quota_keeper.cpp
+++ b/src/snipestall/serving/quota_keeper.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-void QuotaKeeper::startedAmongOthers(SteadyTime now)
+void QuotaKeeper::joinFleet(SteadyTime now)
 {
     m_joinedAt = now;
 }
@@ -176,7 +176,7 @@
 void QuotaKeeper::refundCharged(PeerUse &hub)
 {
     for (const auto &[customer, units] : hub.charged)
-        giveBack(customer, units);
+        refund(customer, units);
     hub.charged.clear();
 }
 
@@ -257,7 +257,7 @@
     return {};
 }
 
-void QuotaKeeper::giveBack(const std::string &customer, double units)
+void QuotaKeeper::refund(const std::string &customer, double units)
 {
     const auto found = m_buckets.find(customer);
     if (found != m_buckets.end())
@@ -295,7 +295,7 @@
     m_hub = peer;
 }
 
-void QuotaKeeper::peerUse(const std::string &peer, QuotaPeer info, const QuotaUse &use,
+void QuotaKeeper::updatePeerUse(const std::string &peer, QuotaPeer info, const QuotaUse &use,
                           SteadyTime now)
 {
     forgetStoppedPeers(now);
--- a/src/snipestall/serving/quota_keeper_test.cpp
+++ b/src/snipestall/serving/quota_keeper_test.cpp
@@ -66,7 +66,7 @@
         for (std::size_t i = 0; i < m_keepers.size(); ++i) {
             for (std::size_t j = 0; j < m_keepers.size(); ++j) {
                 if (i != j)
-                    m_keepers[i]->peerUse(std::to_string(j), { j + 1, 1 }, m_keepers[j]->ownUse(),
+                    m_keepers[i]->updatePeerUse(std::to_string(j), { j + 1, 1 }, m_keepers[j]->ownUse(),
                                           now);
             }
         }
@@ -143,10 +143,10 @@
 {
     QuotaKeeper quotas;
     quotas.configure({ customer(1000, 1000) }, Start);
-    quotas.peerUse("hub-a", { 1, 299, 299, true }, {}, Start);
-    quotas.peerUse("hub-b", { 1, 299, 299, true }, {}, Start + 2s);
+    quotas.updatePeerUse("hub-a", { 1, 299, 299, true }, {}, Start);
+    quotas.updatePeerUse("hub-b", { 1, 299, 299, true }, {}, Start + 2s);
     EXPECT_TRUE(quotas.take("harbour", 1000, Start + 2s).admitted);
-    quotas.peerUse("hub-b", { 1, 299, 299, true }, {}, Start + 3s);
+    quotas.updatePeerUse("hub-b", { 1, 299, 299, true }, {}, Start + 3s);
     EXPECT_TRUE(quotas.take("harbour", 990, Start + 3s).admitted);
 }
 
@@ -157,11 +157,11 @@
 {
     QuotaKeeper quotas;
     quotas.configure({ customer(1000, 5000) }, Start);
-    quotas.registeredInstances(2);
+    quotas.setRegisteredInstances(2);
     EXPECT_TRUE(quotas.take("harbour", 5000, Start).admitted);
     for (const char *name : { "listed", "added-a", "added-b" })
-        quotas.peerUse(name, { 1, 1 }, {}, Start);
-    quotas.peerUse("listed", { 1, 1 }, {}, Start + 2s);
+        quotas.updatePeerUse(name, { 1, 1 }, {}, Start);
+    quotas.updatePeerUse("listed", { 1, 1 }, {}, Start + 2s);
     double taken = 0;
     QuotaVerdict verdict;
     while ((verdict = quotas.take("harbour", 10, Start + 2s)).admitted)
@@ -177,10 +177,10 @@
 {
     QuotaKeeper quotas;
     quotas.configure({ customer(1000, 1000) }, Start);
-    quotas.peerUse("hub", { 1, 299, 299, true }, {}, Start);
+    quotas.updatePeerUse("hub", { 1, 299, 299, true }, {}, Start);
     EXPECT_TRUE(quotas.take("harbour", 1000, Start).admitted);
     for (auto passed = 0ms; passed <= 2s; passed += 200ms) {
-        quotas.peerUse("hub", { 1, 299, 149, true }, {}, Start + passed);
+        quotas.updatePeerUse("hub", { 1, 299, 149, true }, {}, Start + passed);
         // Refills the bucket at each step, by the share of the instances that report at that time.
         quotas.configure({ customer(1000, 1000) }, Start + passed);
     }
@@ -200,10 +200,10 @@
     double taken = 0;
     for (int i = 0; i < Count; ++i) {
         QuotaKeeper quotas;
-        quotas.startedAmongOthers(Start);
+        quotas.joinFleet(Start);
         quotas.configure({ customer(1000, 1000) }, Start);
         EXPECT_FALSE(quotas.take("harbour", 1, Start + 500ms).admitted);
-        quotas.registeredInstances(Count);
+        quotas.setRegisteredInstances(Count);
         while (quotas.take("harbour", 1, Start + 1500ms).admitted)
             taken += 1;
     }
@@ -225,10 +225,10 @@
     for (int i = 0; i < 10; ++i, now += 200ms) {
         use["harbour"].asked += 200;
         use["harbour"].taken += 200;
-        quotas.peerUse("other", { 7, 1 }, use, now);
+        quotas.updatePeerUse("other", { 7, 1 }, use, now);
     }
     use["harbour"].asked += 200;
-    quotas.peerUse("other", { 7, 1 }, use, now - 199ms);
+    quotas.updatePeerUse("other", { 7, 1 }, use, now - 199ms);
     int admitted = 0;
     for (int i = 0; i < 20; ++i)
         admitted += quotas.take("harbour", 11, now - 190ms + i * 9ms).admitted ? 1 : 0;
@@ -269,9 +269,9 @@
         for (std::uint64_t i = 0; i < 20; ++i) {
             made.push_back(std::make_unique<QuotaKeeper>(tolerance, i + 1));
             if (again)
-                made.back()->startedAmongOthers(now);
+                made.back()->joinFleet(now);
             made.back()->configure({ customer(Rate, Burst) }, now);
-            made.back()->registeredInstances(20);
+            made.back()->setRegisteredInstances(20);
         }
         return made;
     };
@@ -280,7 +280,7 @@
         for (std::size_t i = 0; i < keepers.size(); ++i) {
             for (std::size_t j = 0; j < keepers.size(); ++j) {
                 if (i != j)
-                    keepers[i]->peerUse(std::to_string(j), { incarnation, 1 }, keepers[j]->ownUse(),
+                    keepers[i]->updatePeerUse(std::to_string(j), { incarnation, 1 }, keepers[j]->ownUse(),
                                         at);
             }
         }
@@ -311,8 +311,8 @@
 TEST(QuotaKeeper, ALargeBurstDoesNotKeepAJoiningProcessFromServing)
 {
     QuotaKeeper quotas;
-    quotas.startedAmongOthers(Start);
-    quotas.registeredInstances(1);
+    quotas.joinFleet(Start);
+    quotas.setRegisteredInstances(1);
     quotas.configure({ customer(1000, 10000) }, Start);
     EXPECT_TRUE(quotas.take("harbour", 100, Start + 1s).admitted);
 }
@@ -332,7 +332,7 @@
     constexpr auto Interval = 200ms;
     for (SteadyTime now = Start; now <= end; now += Interval) {
         const double taken = perSecond * std::chrono::duration<double>(now - Start).count();
-        quotas.peerUse("hub", { 1, 59, 59, true }, { { "harbour", { taken, taken } } }, now);
+        quotas.updatePeerUse("hub", { 1, 59, 59, true }, { { "harbour", { taken, taken } } }, now);
     }
 }
 
@@ -373,7 +373,7 @@
     quotas.configure({ customer(1000, 1000) }, Start);
     receiveHubReports(quotas, 1500, Start + 2s);
     requestLittle(quotas, Start + 2s, Start + 3600ms);
-    quotas.peerUse("hub", { 1, 59, 59, true }, { { "harbour", { 3000, 3000 } } }, Start + 3600ms);
+    quotas.updatePeerUse("hub", { 1, 59, 59, true }, { { "harbour", { 3000, 3000 } } }, Start + 3600ms);
     EXPECT_TRUE(quotas.take("harbour", 400, Start + 3600ms).admitted);
 }
 
--- a/src/snipestall/serving/retry_allowance.cpp
+++ b/src/snipestall/serving/retry_allowance.cpp
@@ -20,12 +20,12 @@
     return current;
 }
 
-void RetryAllowance::first(const std::string &service, SteadyTime now)
+void RetryAllowance::countFirstAttempt(const std::string &service, SteadyTime now)
 {
     ++slice(service, now).firsts;
 }
 
-bool RetryAllowance::repeat(const std::string &service, SteadyTime now)
+bool RetryAllowance::tryRepeat(const std::string &service, SteadyTime now)
 {
     Slice &current = slice(service, now);
     const std::int64_t oldest = sliceNumber(now) - static_cast<std::int64_t>(Slices);
--- a/src/snipestall/serving/retry_allowance_test.cpp
+++ b/src/snipestall/serving/retry_allowance_test.cpp
@@ -17,8 +17,8 @@
     int repeats = 0;
     for (int i = 0; i < 1000; ++i) {
         const SteadyTime now = Start + i * 10ms;
-        allowance.first("ledger", now);
-        repeats += allowance.repeat("ledger", now) ? 1 : 0;
+        allowance.countFirstAttempt("ledger", now);
+        repeats += allowance.tryRepeat("ledger", now) ? 1 : 0;
     }
     EXPECT_LE(repeats, 200);
     EXPECT_GE(repeats, 100);
@@ -30,7 +30,7 @@
     allowance.setInstances(6);
     int repeats = 0;
     for (int i = 0; i < 100; ++i)
-        repeats += allowance.repeat("ledger", Start) ? 1 : 0;
+        repeats += allowance.tryRepeat("ledger", Start) ? 1 : 0;
     EXPECT_LE(repeats, 10);
     EXPECT_GE(repeats, 5);
 }
@@ -38,16 +38,16 @@
 TEST(RetryAllowance, TheWindowSlides)
 {
     RetryAllowance allowance({ 10s, 0.2, 10 });
-    while (allowance.repeat("ledger", Start)) { }
-    EXPECT_FALSE(allowance.repeat("ledger", Start + 9s));
-    EXPECT_TRUE(allowance.repeat("ledger", Start + 10s + 500ms));
+    while (allowance.tryRepeat("ledger", Start)) { }
+    EXPECT_FALSE(allowance.tryRepeat("ledger", Start + 9s));
+    EXPECT_TRUE(allowance.tryRepeat("ledger", Start + 10s + 500ms));
 }
 
 TEST(RetryAllowance, ServicesCountSeparately)
 {
     RetryAllowance allowance({ 10s, 0.2, 10 });
-    while (allowance.repeat("ledger", Start)) { }
-    EXPECT_TRUE(allowance.repeat("lm", Start));
+    while (allowance.tryRepeat("ledger", Start)) { }
+    EXPECT_TRUE(allowance.tryRepeat("lm", Start));
 }
 
 } // namespace
--- a/src/snipestall/serving/server_speed.cpp
+++ b/src/snipestall/serving/server_speed.cpp
@@ -4,7 +4,7 @@
 
 namespace snipestall::serving {
 
-void ServerSpeed::sawPause(std::chrono::duration<double> pause)
+void ServerSpeed::addStreamPause(std::chrono::duration<double> pause)
 {
     if (!m_pause)
         m_pause = pause;
--- a/src/snipestall/serving/server_table.cpp
+++ b/src/snipestall/serving/server_table.cpp
@@ -11,37 +11,37 @@
 std::string keyOf(const BackendServer &server)
 {
     using std::chrono::milliseconds;
-    const auto startedAt = std::chrono::duration_cast<milliseconds>(server.born.time_since_epoch());
+    const auto startedAt = std::chrono::duration_cast<milliseconds>(server.startedAt.time_since_epoch());
     return server.id + "@" + std::to_string(startedAt.count());
 }
 
 } // namespace
 
-Listing ServerTable::put(const BackendServer &server, SteadyTime now)
+PutResult ServerTable::put(const BackendServer &server, SteadyTime now)
 {
     const auto departed = m_departed.find(server.id);
     if (departed != m_departed.end()) {
-        if (server.born < departed->second)
-            return { Listing::Kind::Ignored, nullptr };
-        if (server.born == departed->second)
+        if (server.startedAt < departed->second)
+            return { PutResult::Kind::Ignored, nullptr };
+        if (server.startedAt == departed->second)
             return awaitRenewals(server, now);
         m_departed.erase(departed);
         m_returning.erase(server.id);
     }
     const ServerStatePtr known = find(server.id);
-    if (known && server.born < known->info.born)
-        return { Listing::Kind::Ignored, nullptr };
+    if (known && server.startedAt < known->info.startedAt)
+        return { PutResult::Kind::Ignored, nullptr };
     m_expiring.erase(server.id);
-    if (known && server.born == known->info.born) {
+    if (known && server.startedAt == known->info.startedAt) {
         update(*known, server, now);
-        return { Listing::Kind::Changed, nullptr };
+        return { PutResult::Kind::Changed, nullptr };
     }
     ServerStatePtr ended = drop(server.id);
     const auto state = std::make_shared<ServerState>();
     state->key = keyOf(server);
     update(*state, server, now);
     m_servers[server.id] = state;
-    return { Listing::Kind::Added, std::move(ended) };
+    return { PutResult::Kind::Added, std::move(ended) };
 }
 
 void ServerTable::update(ServerState &state, const BackendServer &server, SteadyTime now) const
@@ -57,17 +57,17 @@
         state.leavesAt = now + m_drain;
 }
 
-Listing ServerTable::awaitRenewals(const BackendServer &server, SteadyTime now)
+PutResult ServerTable::awaitRenewals(const BackendServer &server, SteadyTime now)
 {
     if (server.leaving) {
         m_returning.erase(server.id);
-        return { Listing::Kind::Ignored, nullptr };
+        return { PutResult::Kind::Ignored, nullptr };
     }
     const auto [found, added] = m_returning.try_emplace(server.id);
     if (added)
         found->second.readmitAt = now + m_readmitDelay;
     found->second.info = server;
-    return { Listing::Kind::Returning, nullptr };
+    return { PutResult::Kind::Returning, nullptr };
 }
 
 std::vector<ServerStatePtr> ServerTable::readmit(SteadyTime now)
@@ -96,7 +96,7 @@
         m_departed.clear();
     WallTime &lastStart = m_departed[id];
     if (known)
-        lastStart = std::max(lastStart, known->info.born);
+        lastStart = std::max(lastStart, known->info.startedAt);
     return known;
 }
 
@@ -112,14 +112,14 @@
     return state;
 }
 
-void ServerTable::lapse(const std::string &id, SteadyTime until)
+void ServerTable::markExpired(const std::string &id, SteadyTime until)
 {
     m_returning.erase(id);
     if (m_servers.contains(id))
         m_expiring.try_emplace(id, until);
 }
 
-std::vector<ServerStatePtr> ServerTable::expireLapsed(SteadyTime now)
+std::vector<ServerStatePtr> ServerTable::removeExpired(SteadyTime now)
 {
     std::vector<std::string> due;
     for (const auto &[id, until] : m_expiring) {
--- a/src/snipestall/serving/server_table_test.cpp
+++ b/src/snipestall/serving/server_table_test.cpp
@@ -62,12 +62,12 @@
     ServerTable table;
     table.put(server("back"), Start);
     table.put(server("dead"), Start);
-    table.lapse("back", Start + 2s);
-    table.lapse("dead", Start + 2s);
-    EXPECT_TRUE(table.expireLapsed(Start + 1900ms).empty());
+    table.markExpired("back", Start + 2s);
+    table.markExpired("dead", Start + 2s);
+    EXPECT_TRUE(table.removeExpired(Start + 1900ms).empty());
     EXPECT_TRUE(table.find("dead")->takesWork());
     table.put(server("back"), Start + 1900ms);
-    const std::vector<ServerStatePtr> gone = table.expireLapsed(Start + 2s);
+    const std::vector<ServerStatePtr> gone = table.removeExpired(Start + 2s);
     ASSERT_EQ(gone.size(), 1U);
     EXPECT_EQ(gone.front()->info.id, "dead");
     EXPECT_TRUE(gone.front()->departed);
@@ -82,8 +82,8 @@
 {
     ServerTable table;
     table.put(server("i-1"), Start);
-    table.lapse("i-1", Start + 1s);
-    ASSERT_EQ(table.expireLapsed(Start + 1s).size(), 1U);
+    table.markExpired("i-1", Start + 1s);
+    ASSERT_EQ(table.removeExpired(Start + 1s).size(), 1U);
     table.put(server("i-1"), Start + 2s);
     ASSERT_NE(table.find("i-1"), nullptr);
     EXPECT_TRUE(table.find("i-1")->takesWork());
@@ -92,7 +92,7 @@
 BackendServer startedAt(std::chrono::seconds start, bool leaving = false)
 {
     BackendServer made = server("i-1", leaving);
-    made.born = WallTime(start);
+    made.startedAt = WallTime(start);
     return made;
 }
 
@@ -103,7 +103,7 @@
     ServerTable table;
     table.put(startedAt(10s), Start);
     table.remove("i-1");
-    EXPECT_EQ(table.put(startedAt(20s), Start + 1s).kind, Listing::Kind::Added);
+    EXPECT_EQ(table.put(startedAt(20s), Start + 1s).kind, PutResult::Kind::Added);
     ASSERT_NE(table.find("i-1"), nullptr);
     EXPECT_TRUE(table.find("i-1")->takesWork());
 }
@@ -118,7 +118,7 @@
     before->own.inFlight = 3;
     for (int i = 0; i < 3; ++i)
         table.lost(*before, Start);
-    const Listing listing = table.put(startedAt(20s), Start + 1s);
+    const PutResult listing = table.put(startedAt(20s), Start + 1s);
     EXPECT_EQ(listing.ended, before);
     EXPECT_TRUE(before->departed);
     const ServerStatePtr after = table.find("i-1");
@@ -136,10 +136,10 @@
     ServerTable table;
     table.put(startedAt(10s), Start);
     table.put(startedAt(20s, true), Start + 1s);
-    EXPECT_EQ(table.put(startedAt(10s), Start + 2s).kind, Listing::Kind::Ignored);
+    EXPECT_EQ(table.put(startedAt(10s), Start + 2s).kind, PutResult::Kind::Ignored);
     EXPECT_FALSE(table.find("i-1")->takesWork());
     table.remove("i-1");
-    EXPECT_EQ(table.put(startedAt(10s), Start + 3s).kind, Listing::Kind::Ignored);
+    EXPECT_EQ(table.put(startedAt(10s), Start + 3s).kind, PutResult::Kind::Ignored);
     EXPECT_TRUE(table.readmit(Start + 60s).empty());
     EXPECT_EQ(table.find("i-1"), nullptr);
 }
@@ -152,7 +152,7 @@
     ServerTable table(2000ms, 1200ms);
     table.put(startedAt(10s), Start);
     table.remove("i-1");
-    EXPECT_EQ(table.put(startedAt(10s), Start + 5s).kind, Listing::Kind::Returning);
+    EXPECT_EQ(table.put(startedAt(10s), Start + 5s).kind, PutResult::Kind::Returning);
     EXPECT_TRUE(table.readmit(Start + 9s).empty());
     EXPECT_EQ(table.find("i-1"), nullptr);
     ASSERT_EQ(table.readmit(Start + 10s).size(), 1U);
@@ -169,7 +169,7 @@
     table.put(startedAt(10s), Start + 1s);
     table.remove("i-1");
     EXPECT_TRUE(table.readmit(Start + 60s).empty());
-    EXPECT_EQ(table.put(startedAt(10s, true), Start + 61s).kind, Listing::Kind::Ignored);
+    EXPECT_EQ(table.put(startedAt(10s, true), Start + 61s).kind, PutResult::Kind::Ignored);
     EXPECT_TRUE(table.readmit(Start + 120s).empty());
     EXPECT_EQ(table.find("i-1"), nullptr);
 }
--- a/src/snipestall/serving/shutdown_plan.cpp
+++ b/src/snipestall/serving/shutdown_plan.cpp
@@ -11,7 +11,7 @@
     , m_lastAnswerAt(signalled + std::max(grace - LastAnswerMargin, milliseconds(0)))
     , m_endAt(signalled + std::max(grace - EndMargin, milliseconds(0)))
 {
-    m_refuseAt = std::min(signalled + TakeWorkFor, m_lastAnswerAt);
+    m_refuseAt = std::min(signalled + AcceptPeriod, m_lastAnswerAt);
 }
 
 } // namespace snipestall::serving
--- a/src/snipestall/serving/usage_ledger.cpp
+++ b/src/snipestall/serving/usage_ledger.cpp
@@ -4,7 +4,7 @@
 
 namespace snipestall::serving {
 
-void UsageLedger::said(std::int64_t window, const std::string &process, const UsageCounts &counts)
+void UsageLedger::addCounts(std::int64_t window, const std::string &process, const UsageCounts &counts)
 {
     UsageCounts &known = m_windows[window][process];
     for (const auto &[customer, count] : counts) {
@@ -19,7 +19,7 @@
     return found != m_windows.end() && found->second.contains(process);
 }
 
-std::map<std::string, UsageCounts> UsageLedger::of(std::int64_t window) const
+std::map<std::string, UsageCounts> UsageLedger::countsByProcess(std::int64_t window) const
 {
     const auto found = m_windows.find(window);
     return found == m_windows.end() ? std::map<std::string, UsageCounts> {} : found->second;
--- a/src/snipestall/serving/usage_ledger_test.cpp
+++ b/src/snipestall/serving/usage_ledger_test.cpp
@@ -11,28 +11,28 @@
 TEST(UsageLedger, TheGreatestOfSeveralReportsOfAProcessCounts)
 {
     UsageLedger ledger;
-    ledger.said(7, "a/1", { { "harbour", 10 } });
-    ledger.said(7, "a/1", { { "harbour", 12 }, { "ferry", 1 } });
-    ledger.said(7, "a/1", { { "harbour", 11 } });
-    ledger.said(7, "b/1", { { "harbour", 5 } });
+    ledger.addCounts(7, "a/1", { { "harbour", 10 } });
+    ledger.addCounts(7, "a/1", { { "harbour", 12 }, { "ferry", 1 } });
+    ledger.addCounts(7, "a/1", { { "harbour", 11 } });
+    ledger.addCounts(7, "b/1", { { "harbour", 5 } });
     EXPECT_EQ(ledger.total(7), (UsageCounts { { "harbour", 17 }, { "ferry", 1 } }));
-    EXPECT_EQ(ledger.of(7).at("a/1"), (UsageCounts { { "harbour", 12 }, { "ferry", 1 } }));
+    EXPECT_EQ(ledger.countsByProcess(7).at("a/1"), (UsageCounts { { "harbour", 12 }, { "ferry", 1 } }));
 }
 
 TEST(UsageLedger, ARestartedProcessCountsInAdditionToThePreviousOne)
 {
     UsageLedger ledger;
-    ledger.said(7, "a/1", { { "harbour", 10 } });
-    ledger.said(7, "a/2", { { "harbour", 3 } });
+    ledger.addCounts(7, "a/1", { { "harbour", 10 } });
+    ledger.addCounts(7, "a/2", { { "harbour", 3 } });
     EXPECT_EQ(ledger.total(7), (UsageCounts { { "harbour", 13 } }));
 }
 
 TEST(UsageLedger, ADroppedWindowHasNoCounts)
 {
     UsageLedger ledger;
-    ledger.said(7, "a/1", { { "harbour", 10 } });
+    ledger.addCounts(7, "a/1", { { "harbour", 10 } });
     ledger.dropBefore(8);
-    EXPECT_TRUE(ledger.of(7).empty());
+    EXPECT_TRUE(ledger.countsByProcess(7).empty());
     EXPECT_TRUE(ledger.total(7).empty());
 }
 
--- a/src/snipestall/serving/usage_windows.cpp
+++ b/src/snipestall/serving/usage_windows.cpp
@@ -13,7 +13,7 @@
     return WallTime(m_length * (window + 1));
 }
 
-void UsageWindows::began(const std::string &customer, WallTime time)
+void UsageWindows::requestStarted(const std::string &customer, WallTime time)
 {
     ++m_windows[windowOf(time)][customer];
 }
--- a/src/snipestall/serving/usage_windows_test.cpp
+++ b/src/snipestall/serving/usage_windows_test.cpp
@@ -11,10 +11,10 @@
 {
     UsageWindows usage(5s);
     const WallTime start { 1000s };
-    usage.began("a", start);
-    usage.began("a", start + 4999ms);
-    usage.began("b", start + 4999ms);
-    usage.began("a", start + 5s);
+    usage.requestStarted("a", start);
+    usage.requestStarted("a", start + 4999ms);
+    usage.requestStarted("b", start + 4999ms);
+    usage.requestStarted("a", start + 5s);
     EXPECT_EQ(usage.windowOf(start), 200);
     EXPECT_EQ(usage.endOf(200), start + 5s);
     EXPECT_EQ(usage.counts(200), (UsageCounts { { "a", 2 }, { "b", 1 } }));
--- a/tests/gateway/shutdown_test.cpp
+++ b/tests/gateway/shutdown_test.cpp
@@ -50,7 +50,7 @@
         const std::size_t ran = m_first.ran().size() + m_second.ran().size();
         m_store.staySilent(true);
         instance.gateway->drain();
-        co_await wire::sleepFor(serving::ShutdownPlan::TakeWorkFor);
+        co_await wire::sleepFor(serving::ShutdownPlan::AcceptPeriod);
         const HttpResponse late = co_await fetch(instance.callers, "/safe/x");
         EXPECT_EQ(late.status, 503);
         EXPECT_TRUE(late.fields.find("Retry-After"));
