--- a/include/snipestall/base/clock.hpp
+++ b/include/snipestall/base/clock.hpp
@@ -7,7 +7,8 @@
 using SteadyTime = std::chrono::steady_clock::time_point;
 using WallTime = std::chrono::system_clock::time_point;
 
-/// Source of time, replaced in tests. Leases and timeouts use `steadyNow`; audit rows `wallNow`.
+/// Source of time that tests can replace. Leases and timeouts use `steadyNow`, audit rows use
+/// `wallNow`.
 class Clock
 {
 public:
--- a/include/snipestall/base/error.hpp
+++ b/include/snipestall/base/error.hpp
@@ -6,7 +6,7 @@
 
 namespace snipestall {
 
-/// A failure that the caller is expected to handle. The message names the remedy.
+/// A failure that the caller is expected to handle. The message says how to remedy it.
 ///
 ///     return fail(ErrorKind::NotFound, "no service 'x'; list them with snipestallctl status");
 struct Error
--- a/include/snipestall/base/error_kind.hpp
+++ b/include/snipestall/base/error_kind.hpp
@@ -4,10 +4,10 @@
 
 namespace snipestall {
 
-/// What a caller of a failed operation may conclude.
+/// Kind of a failure; tells the caller what it may conclude about the operation.
 ///
-/// `Unavailable` promises that the operation had no effect. `OutcomeUnknown` makes no promise:
-/// the operation may or may not have taken effect, and only a read can tell.
+/// `Unavailable` guarantees that the operation had no effect. `OutcomeUnknown` guarantees nothing:
+/// the operation may or may not have taken effect, and only reading the state back can tell.
 enum class ErrorKind {
     InvalidArgument,
     Unauthenticated,
@@ -22,6 +22,7 @@
     Internal,
 };
 
+/// Returns the name of a kind, such as "not-found".
 std::string_view toString(ErrorKind kind);
 
 } // namespace snipestall
--- a/include/snipestall/base/event_catalogue.hpp
+++ b/include/snipestall/base/event_catalogue.hpp
@@ -6,9 +6,9 @@
 
 namespace snipestall::events {
 
-// Numbers are never reused. 1xx process, 2xx settings, 3xx platform, 4xx membership and peers,
-// 5xx requests, 6xx backend servers, 7xx operators, 8xx stand-ins and tools,
-// 9xx the gateway.
+// Event numbers are never reused. Ranges: 1xx process, 2xx settings, 3xx platform, 4xx membership
+// and peers, 5xx requests, 6xx backend servers, 7xx operators, 8xx stand-ins and tools, 9xx
+// gateway.
 extern const EventInfo ProcessStarted;
 extern const EventInfo ProcessStopping;
 extern const EventInfo ProcessStopped;
@@ -76,7 +76,7 @@
 extern const EventInfo GatewayPeerHeard;
 extern const EventInfo GatewayPeerSilent;
 
-/// Every event, by number.
+/// Returns all events, ordered by number.
 std::span<const EventInfo *const> all();
 
 } // namespace snipestall::events
--- a/include/snipestall/base/event_info.hpp
+++ b/include/snipestall/base/event_info.hpp
@@ -4,6 +4,7 @@
 
 namespace snipestall {
 
+/// Severity of a log event, in ascending order.
 enum class Severity {
     Debug,
     Info,
@@ -11,14 +12,14 @@
     Error,
 };
 
-/// One numbered event of the log. The catalogue in docs/events.md is generated from the table.
+/// Description of one numbered log event. docs/events.md is generated from these descriptions.
 struct EventInfo
 {
     int number = 0;
     Severity severity = Severity::Info;
     std::string_view name;
     std::string_view meaning;
-    /// What an operator should do; never empty.
+    /// What an operator should do about the event; never empty.
     std::string_view action;
 };
 
--- a/include/snipestall/base/event_page.hpp
+++ b/include/snipestall/base/event_page.hpp
@@ -4,7 +4,7 @@
 
 namespace snipestall::events {
 
-/// The whole of docs/events.md, in Markdown, from the catalogue.
+/// Returns the content of docs/events.md, generated from the event catalogue, in Markdown.
 std::string referencePage();
 
 } // namespace snipestall::events
--- a/include/snipestall/base/exception.hpp
+++ b/include/snipestall/base/exception.hpp
@@ -6,8 +6,8 @@
 
 namespace snipestall {
 
-/// Root of the exceptions this project throws: broken invariants and failures that the immediate
-/// caller can't handle. Expected failures are returned as Result instead.
+/// Base class of the exceptions that this project throws for broken invariants and for failures
+/// that the immediate caller can't handle. Expected failures are returned as Result instead.
 class Exception : public std::runtime_error
 {
 public:
--- a/include/snipestall/base/log.hpp
+++ b/include/snipestall/base/log.hpp
@@ -8,23 +8,26 @@
 
 namespace snipestall {
 
-/// One named value of a log line. Never a prompt, an answer or a key.
+/// One named value of a log line. It must not contain a prompt, a response or a key.
 struct LogField
 {
     std::string_view name;
     std::string value;
 };
 
+/// Format of the log lines.
 enum class LogFormat {
     Text,
     Json,
 };
 
-/// Sets up the process's log: standard output, one event a line, written by a thread of its own.
-/// Lines that a reader does not take in time are dropped and counted.
-void initLog(LogFormat format, Severity least);
+/// Initializes the log of the process, which a separate thread writes to standard output with one
+/// event per line. Events below `minimum` are not logged. If the reader of the output is too slow,
+/// lines are dropped and counted.
+void initLog(LogFormat format, Severity minimum);
 
-/// Writes what is queued; later events are not written. Waits for a stopped reader only a moment.
+/// Writes the queued lines, but waits only briefly for a reader that has stopped. Later events are
+/// not written.
 void finishLog();
 
 /// Writes one numbered event.
--- a/include/snipestall/base/manual_clock.hpp
+++ b/include/snipestall/base/manual_clock.hpp
@@ -4,7 +4,7 @@
 
 namespace snipestall {
 
-/// A clock that moves only when told to; both times move together.
+/// Clock for tests that changes only through advance(), which moves both times.
 ///
 ///     ManualClock clock;
 ///     clock.advance(std::chrono::seconds(3));
--- a/include/snipestall/base/random.hpp
+++ b/include/snipestall/base/random.hpp
@@ -4,8 +4,8 @@
 
 namespace snipestall {
 
-/// Small seeded generator (SplitMix64, Steele et al. 2014): the same seed gives the same sequence
-/// on every machine, which std::uniform_real_distribution does not promise.
+/// Seeded pseudo-random generator (SplitMix64, Steele et al. 2014). The same seed gives the same
+/// sequence on every machine, which std::uniform_real_distribution does not guarantee.
 class Random
 {
 public:
@@ -13,6 +13,7 @@
         : m_state(seed)
     { }
 
+    /// Returns the next 64 random bits.
     std::uint64_t next();
 
     /// Uniform in [0, 1).
--- a/include/snipestall/base/recent_hashes.hpp
+++ b/include/snipestall/base/recent_hashes.hpp
@@ -8,7 +8,9 @@
 
 namespace snipestall {
 
-/// Hashes seen within the last minutes, in bounded memory.
+/// Set of the hashes added within the last minutes, with bounded memory.
+///
+/// It consists of two generations; the older one is discarded as a whole.
 class RecentHashes
 {
 public:
@@ -16,14 +18,14 @@
     [[nodiscard]] bool contains(std::uint64_t hash) const;
 
 private:
-    /// At most twice as long is remembered: callers repeat a request within minutes.
-    static constexpr std::chrono::seconds Generation { 120 };
-    /// Of each generation: some 200 KB, and at 100 requests a second 40 s of them.
-    static constexpr std::size_t MostOfGeneration = 4096;
+    /// A hash is kept for at most twice this time. Callers repeat a request within minutes.
+    static constexpr std::chrono::seconds GenerationLength { 120 };
+    /// Takes about 200 KB per generation; 100 requests per second fill a generation in 40 s.
+    static constexpr std::size_t MaxHashesPerGeneration = 4096;
 
     std::unordered_set<std::uint64_t> m_newer;
     std::unordered_set<std::uint64_t> m_older;
-    SteadyTime m_begun;
+    SteadyTime m_newerSince;
 };
 
 } // namespace snipestall
--- a/include/snipestall/base/rendezvous.hpp
+++ b/include/snipestall/base/rendezvous.hpp
@@ -9,14 +9,14 @@
 
 namespace snipestall {
 
-/// Stable 64-bit hash of bytes (FNV-1a with a final mix); the same on every instance.
+/// Returns a 64-bit hash of bytes (FNV-1a with a final mix) that is the same on every instance.
 std::uint64_t stableHash(std::string_view bytes);
 
-/// Highest-random-weight choice (Thaler and Ravishankar, 1998): removing a node moves only the
-/// keys that it held.
+/// Chooses a node for a key by rendezvous hashing (Thaler and Ravishankar, 1998): removing a node
+/// moves only the keys that it held. Returns nothing if there are no nodes.
 std::optional<std::string> rendezvousPick(std::string_view key, std::span<const std::string> nodes);
 
-/// All nodes, best first.
+/// Returns all nodes in the order of their weight for the key; rendezvousPick() chooses the first.
 std::vector<std::string> rendezvousOrder(std::string_view key, std::span<const std::string> nodes);
 
 } // namespace snipestall
--- a/include/snipestall/base/result.hpp
+++ b/include/snipestall/base/result.hpp
@@ -9,11 +9,11 @@
 
 namespace snipestall {
 
-/// Value or Error; the return type of static factories and of expected failures.
+/// Value or Error; return type of functions that are expected to fail, static factories included.
 template<typename T>
 using Result = tl::expected<T, Error>;
 
-/// Builds the error side of any Result.
+/// Returns an error that converts to any Result.
 inline tl::unexpected<Error> fail(ErrorKind kind, std::string message)
 {
     return tl::unexpected<Error>(Error { kind, std::move(message) });
--- a/include/snipestall/base/system_clock.hpp
+++ b/include/snipestall/base/system_clock.hpp
@@ -4,7 +4,7 @@
 
 namespace snipestall {
 
-/// The machine's clocks.
+/// Clock that reads the machine's steady clock and wall clock.
 class SystemClock final : public Clock
 {
 public:
--- a/include/snipestall/wire/endpoint.hpp
+++ b/include/snipestall/wire/endpoint.hpp
@@ -9,7 +9,7 @@
 
 namespace snipestall::wire {
 
-/// IP number and port.
+/// IP address and port.
 struct Endpoint
 {
     std::string host;
@@ -17,8 +17,10 @@
 
     auto operator<=>(const Endpoint &) const = default;
 
-    /// Parses "127.0.0.1:8080" or "[::1]:8080".
+    /// Parses "127.0.0.1:8080" or "[::1]:8080"; InvalidArgument for anything else, including host
+    /// names.
     static Result<Endpoint> parse(std::string_view text);
+    /// Returns the text form that parse() accepts.
     [[nodiscard]] std::string toString() const;
 };
 
--- a/include/snipestall/wire/event_splitter.hpp
+++ b/include/snipestall/wire/event_splitter.hpp
@@ -8,20 +8,22 @@
 
 namespace snipestall::wire {
 
-/// One whole event of a text/event-stream body, byte for byte.
+/// One complete event of a text/event-stream body, with its unchanged bytes.
 struct RawEvent
 {
     std::string text;
+    /// Value of the last "id" field that is a number, if any.
     std::optional<std::uint64_t> id;
 };
 
-/// Cuts a text/event-stream body into whole events without changing a byte. What a broken stream
-/// leaves of its last event stays inside, so that it never reaches a reader.
+/// Splits a text/event-stream body into complete events without changing a byte. If a stream breaks
+/// off, the incomplete last event is held back, so that it never reaches a reader.
 class EventSplitter
 {
 public:
+    /// Adds bytes of the body and returns the events that they complete.
     std::vector<RawEvent> feed(std::string_view bytes);
-    /// Bytes of an event that is not complete yet.
+    /// Bytes of the event that is not complete yet.
     [[nodiscard]] const std::string &rest() const { return m_rest; }
 
 private:
--- a/include/snipestall/wire/event_stream_parser.hpp
+++ b/include/snipestall/wire/event_stream_parser.hpp
@@ -6,7 +6,7 @@
 
 namespace snipestall::wire {
 
-/// One event of a text/event-stream body.
+/// One decoded event of a text/event-stream body.
 struct StreamEvent
 {
     std::string id;
@@ -14,16 +14,18 @@
     std::string data;
 };
 
-/// Cuts a text/event-stream body into events, whatever the borders of its chunks.
+/// Parses a text/event-stream body into events. The result doesn't depend on how the body is split
+/// into chunks.
 ///
 ///     for (const StreamEvent &event : parser.feed(bytes)) ...
 class EventStreamParser
 {
 public:
+    /// Adds bytes of the body and returns the events that they complete.
     std::vector<StreamEvent> feed(std::string_view bytes);
 
 private:
-    void takeLine(std::string_view line, std::vector<StreamEvent> &events);
+    void parseLine(std::string_view line, std::vector<StreamEvent> &events);
 
     std::string m_line;
     StreamEvent m_event;
--- a/include/snipestall/wire/http_client.hpp
+++ b/include/snipestall/wire/http_client.hpp
@@ -16,30 +16,34 @@
 
 class HttpStream;
 
+/// Timeouts and conditions of one HTTP call.
 struct HttpCallOptions
 {
     std::chrono::milliseconds connectTimeout { 1000 };
-    /// Longest silence while waiting for bytes.
+    /// Longest time for sending the request, and for waiting for the next bytes of the response.
     std::chrono::milliseconds idleTimeout { 10000 };
-    /// Never reuse an idle connection: for calls that must not be repeated, where a reused
-    /// connection that the server has just closed would leave the outcome unknown.
+    /// Opens a new connection instead of reusing an idle one. Calls that must not be repeated need
+    /// this, because a reused connection that the server has just closed leaves the outcome
+    /// unknown.
     bool freshConnection = false;
-    /// Called right before the first byte is written; returning false gives up with Unavailable.
+    /// Called right before the first byte is written; if it returns false, the call fails with
+    /// Unavailable.
     std::function<bool()> beforeSend;
 };
 
-/// HTTP/1.1 client. Errors tell what the caller may conclude: Unavailable means that no byte left;
-/// OutcomeUnknown and DeadlineExceeded mean that it may have been run.
+/// HTTP/1.1 client. Unavailable means that no byte was sent; OutcomeUnknown and DeadlineExceeded
+/// mean that the server may have run the request.
 class HttpClient
 {
 public:
     explicit HttpClient(boost::asio::io_context &io);
     ~HttpClient();
 
-    /// The whole answer at once.
+    /// Sends a request and returns the complete response.
     Task<Result<HttpResponse>> fetch(Endpoint endpoint, HttpRequest request,
                                      HttpCallOptions options = {});
-    /// The answer as it comes.
+    /// Sends a request and returns once the response header has arrived; the body is read from the
+    /// stream.
     Task<Result<std::unique_ptr<HttpStream>>> open(Endpoint endpoint, HttpRequest request,
                                                    HttpCallOptions options = {});
 
--- a/include/snipestall/wire/http_fields.hpp
+++ b/include/snipestall/wire/http_fields.hpp
@@ -8,10 +8,11 @@
 
 namespace snipestall::wire {
 
-/// Header fields in order; names compare without case.
+/// Header fields in insertion order; names are case-insensitive.
 class HttpFields
 {
 public:
+    /// Adds a field or replaces the value of an existing one.
     void set(std::string_view name, std::string value);
     [[nodiscard]] std::optional<std::string> find(std::string_view name) const;
     [[nodiscard]] const std::vector<std::pair<std::string, std::string>> &all() const
--- a/include/snipestall/wire/http_request.hpp
+++ b/include/snipestall/wire/http_request.hpp
@@ -7,6 +7,7 @@
 
 namespace snipestall::wire {
 
+/// An HTTP request with its complete body.
 struct HttpRequest
 {
     std::string method = "GET";
@@ -14,9 +15,9 @@
     HttpFields fields;
     std::string body;
 
-    /// Target without its query.
+    /// The target without its query.
     [[nodiscard]] std::string_view path() const;
-    /// Value of one query parameter, percent-decoded; empty if absent.
+    /// Percent-decoded value of one query parameter; empty if it is absent.
     [[nodiscard]] std::string query(std::string_view name) const;
 };
 
--- a/include/snipestall/wire/http_response.hpp
+++ b/include/snipestall/wire/http_response.hpp
@@ -6,13 +6,14 @@
 
 namespace snipestall::wire {
 
+/// An HTTP response with its complete body.
 struct HttpResponse
 {
     int status = 200;
     HttpFields fields;
     std::string body;
 
-    /// A JSON answer.
+    /// Returns a response with the content type application/json.
     static HttpResponse json(int status, std::string body);
 };
 
--- a/include/snipestall/wire/http_server.hpp
+++ b/include/snipestall/wire/http_server.hpp
@@ -16,37 +16,41 @@
 
 class HttpExchange;
 
-/// Certificate and key in PEM files; reloaded when a file's time stamp changes.
+/// Paths of the PEM files with the certificate and the private key. The files are reloaded when
+/// their modification time changes.
 struct TlsFiles
 {
     std::string certificate;
     std::string privateKey;
 };
 
+/// Limits and TLS files of a listener.
 struct HttpServerOptions
 {
-    /// Larger bodies are answered with 413 before they are read. Bytes.
+    /// Maximum size of a request body in bytes; a request with a larger body is answered with 413
+    /// before the body is read.
     std::uint64_t maxBody = 4ULL * 1024 * 1024;
     std::optional<TlsFiles> tls;
 };
 
-/// HTTP/1.1 listener on the loop's own thread; one coroutine a connection.
+/// HTTP/1.1 listener that runs one coroutine per connection on the thread of the I/O loop.
 class HttpServer
 {
 public:
+    /// Responds to one exchange. An exchange that it leaves unfinished is aborted.
     using Handler = std::function<Task<void>(HttpExchange &)>;
 
-    /// Opens the listener; Unavailable with the address in the message if that fails.
+    /// Opens the listener. Fails with Unavailable, with the address in the message.
     static Result<std::unique_ptr<HttpServer>> create(boost::asio::io_context &io,
                                                       const Endpoint &endpoint, Handler handler,
                                                       HttpServerOptions options = {});
     ~HttpServer();
 
-    /// The real port, when 0 was asked for.
+    /// The address that the server listens on, with the assigned port if port 0 was requested.
     [[nodiscard]] Endpoint endpoint() const;
-    /// Takes no new connections; each open one closes after its present exchange.
+    /// Stops accepting connections; each open one closes after its current exchange.
     void stopAccepting();
-    /// Open connections, idle ones included.
+    /// Number of open connections, including idle ones.
     [[nodiscard]] std::size_t connections() const;
 
 private:
--- a/include/snipestall/wire/http_stream.hpp
+++ b/include/snipestall/wire/http_stream.hpp
@@ -9,18 +9,19 @@
 
 namespace snipestall::wire {
 
-/// A response whose body is read as it comes. Destroying it before its end closes the connection,
-/// so a connection with an unread answer is never reused.
+/// A response whose body is read while it arrives. Destroying the stream before the end of the body
+/// closes the connection, so that a connection with an unread response is never reused.
 class HttpStream
 {
 public:
     virtual ~HttpStream() = default;
 
-    /// Status and fields; the body is empty.
+    /// Status and fields of the response; its body is empty.
     [[nodiscard]] virtual const HttpResponse &head() const = 0;
-    /// Next bytes of the body; nothing at its proper end; OutcomeUnknown if it was cut.
+    /// Returns the next bytes of the body, or nothing at its end. Fails with OutcomeUnknown if the
+    /// connection closed before the end, and with DeadlineExceeded after the idle timeout.
     virtual Task<Result<std::optional<std::string>>> read() = 0;
-    /// Breaks off a read() under way.
+    /// Closes the connection; a pending read() fails.
     virtual void close() = 0;
 };
 
--- a/include/snipestall/wire/signal.hpp
+++ b/include/snipestall/wire/signal.hpp
@@ -9,8 +9,9 @@
 
 namespace snipestall::wire {
 
-/// Wakes the coroutines that wait on it, on the loop's own thread. Wakes may be spurious and one
-/// that comes before the wait is lost: check the condition in a loop around wait().
+/// Condition variable for coroutines on the thread of the I/O loop. wait() may return without a
+/// notification, and a notification before the wait is lost, so callers must check their condition
+/// in a loop around wait().
 ///
 ///     while (queue.empty())
 ///         co_await signal.wait();
@@ -19,14 +20,16 @@
 public:
     explicit Signal(const boost::asio::any_io_executor &executor);
 
+    /// Suspends the coroutine until the next notifyAll().
     Task<void> wait();
+    /// Wakes all coroutines that wait now.
     void notifyAll();
 
 private:
     boost::asio::steady_timer m_timer;
 };
 
-/// Pauses the coroutine.
+/// Suspends the coroutine for a time.
 Task<void> sleepFor(std::chrono::steady_clock::duration duration);
 
 } // namespace snipestall::wire
--- a/include/snipestall/wire/socket_options.hpp
+++ b/include/snipestall/wire/socket_options.hpp
@@ -4,27 +4,28 @@
 
 namespace snipestall::wire {
 
-/// Sets a connection up so that a peer which vanishes without a reset is noticed.
+/// Configures a connection so that the loss of a peer is detected even if no reset arrives.
 ///
-/// Failure: a peer loses power or is cut off, and no reset arrives. It shows as a call that hangs
-/// until its timeout. Unacknowledged bytes end the connection after the user timeout, and
-/// keep-alive probes find the loss while only an answer is awaited.
+/// When a peer loses power or is disconnected from the network, no reset arrives, and calls would
+/// hang until their timeout. With these options, unacknowledged bytes end the connection after the
+/// TCP user timeout, and keep-alive probes detect the loss while this side only waits for a
+/// response.
 void detectLostPeer(boost::asio::ip::tcp::socket &socket);
 
-/// Makes every close of an outgoing connection a reset.
+/// Makes closing an outgoing connection send a reset.
 ///
-/// Failure: a call is given up while its bytes wait behind a network partition. A plain close lets
-/// the kernel go on sending them, and they are carried out seconds later: an order under a lease
-/// that has passed on, or a request whose caller has left. It shows as a call that arrives long
-/// after its sender stopped waiting. A reset drops what has not been sent.
+/// A call may be abandoned while its bytes wait behind a network partition. After a normal close
+/// the kernel keeps sending them, so the call could arrive and be carried out seconds after its
+/// sender stopped waiting: an order under a lease that another instance holds by then, or a request
+/// whose caller has left. A reset drops the bytes that have not been sent.
 void resetOnClose(boost::asio::ip::tcp::socket &socket);
 
-/// Whether a kept connection is open and has nothing to read: what has arrived on an idle
-/// connection is its end or bytes that belong to no request.
+/// Whether a pooled connection is open and has nothing to read. Anything that has arrived on an
+/// idle connection is either its end or bytes that belong to no request.
 bool isIdleAndOpen(boost::asio::ip::tcp::socket &socket);
 
-/// Whether the peer has closed the connection, whatever of its bytes is still unread. Asks the
-/// kernel: an event of the loop may tell it later.
+/// Whether the peer has closed the connection, even if some of its bytes are still unread. Queries
+/// the kernel, because the I/O loop may report the close later.
 bool peerHasClosed(boost::asio::ip::tcp::socket &socket);
 
 } // namespace snipestall::wire
--- a/include/snipestall/wire/task.hpp
+++ b/include/snipestall/wire/task.hpp
@@ -4,8 +4,8 @@
 
 namespace snipestall::wire {
 
-/// A coroutine of the I/O loop. GCC 12 destroys braced temporaries inside a co_await expression
-/// twice; build arguments in named variables first.
+/// A coroutine on the I/O loop. GCC 12 destroys brace-initialized temporaries in a co_await
+/// expression twice, so arguments must be built in named variables first.
 template<typename T>
 using Task = boost::asio::awaitable<T>;
 
--- a/src/snipestall/base/event_catalogue_test.cpp
+++ b/src/snipestall/base/event_catalogue_test.cpp
@@ -7,7 +7,7 @@
 namespace snipestall {
 namespace {
 
-TEST(EventCatalogueTest, NumbersAndNamesAreUniqueAndEachNamesAnAction)
+TEST(EventCatalogueTest, NumbersAndNamesAreUniqueAndTextsAreNotEmpty)
 {
     std::set<int> numbers;
     std::set<std::string_view> names;
--- a/src/snipestall/base/event_page.cpp
+++ b/src/snipestall/base/event_page.cpp
@@ -9,30 +9,30 @@
 
 constexpr std::string_view Introduction = R"(# Events
 
-Generated from the catalogue in code by `snipestallctl reference events`; a test holds this page to it.
+Generated from the event catalogue in the code by `snipestallctl reference events`; a test checks that this page is up to date.
 
-Every line of the log is one of these events, with its number (`SN100`...), its name and its fields;
-`log: {format: json}` in the local settings gives one JSON object a line. Numbers are never used
-twice. No line holds a prompt, an answer or a key.
+Every log line is one of these events, with its number (`SN100`...), its name and its fields;
+`log: {format: json}` in the local settings writes one JSON object per line. Numbers are never
+reused. No line contains a prompt, a response or a key.
 )";
 
 constexpr std::array SeverityNames { "debug", "info", "warning", "error" };
 
-struct Block
+struct Section
 {
     int first;
     std::string_view title;
 };
 
-constexpr std::array Blocks {
-    Block { 100, "Process" },   Block { 200, "Settings" },
-    Block { 300, "Platform" },  Block { 400, "Membership and peers" },
-    Block { 500, "Requests" },  Block { 600, "Backend servers" },
-    Block { 700, "Operators" }, Block { 800, "Stand-ins and tools" },
-    Block { 900, "Gateway" },
+constexpr std::array Sections {
+    Section { 100, "Process" },   Section { 200, "Settings" },
+    Section { 300, "Platform" },  Section { 400, "Membership and peers" },
+    Section { 500, "Requests" },  Section { 600, "Backend servers" },
+    Section { 700, "Operators" }, Section { 800, "Stand-ins and tools" },
+    Section { 900, "Gateway" },
 };
 
-constexpr int BlockSize = 100;
+constexpr int NumbersPerSection = 100;
 
 std::string rowOf(const EventInfo &event)
 {
@@ -42,17 +42,17 @@
     return row.append(event.meaning).append(" | ").append(event.action).append(" |\n");
 }
 
-std::string tableOf(const Block &block)
+std::string tableOf(const Section &section)
 {
     std::string rows;
     for (const EventInfo *event : all()) {
-        if (event->number >= block.first && event->number < block.first + BlockSize)
+        if (event->number >= section.first && event->number < section.first + NumbersPerSection)
             rows += rowOf(*event);
     }
     if (rows.empty())
         return {};
     std::string table = "\n## ";
-    table.append(block.title);
+    table.append(section.title);
     table += "\n\n| number | name | severity | meaning | what to do |\n|---|---|---|---|---|\n";
     return table + rows;
 }
@@ -62,8 +62,8 @@
 std::string referencePage()
 {
     std::string page(Introduction);
-    for (const Block &block : Blocks)
-        page += tableOf(block);
+    for (const Section &section : Sections)
+        page += tableOf(section);
     return page;
 }
 
--- a/src/snipestall/base/event_page_test.cpp
+++ b/src/snipestall/base/event_page_test.cpp
@@ -11,7 +11,7 @@
 namespace snipestall::events {
 namespace {
 
-TEST(EventPageTest, TheCommittedPageIsTheGeneratedOne)
+TEST(EventPageTest, TheCommittedPageIsUpToDate)
 {
     std::ifstream file(SNIPESTALL_SOURCE_DIR "/docs/events.md");
     const std::string page { std::istreambuf_iterator<char>(file), {} };
@@ -19,7 +19,7 @@
         << "run: build/bin/snipestallctl reference events > docs/events.md";
 }
 
-TEST(EventPageTest, EveryEventStandsInABlock)
+TEST(EventPageTest, EveryEventIsInASection)
 {
     const std::string page = referencePage();
     for (const EventInfo *event : all())
--- a/src/snipestall/base/line_writer.cpp
+++ b/src/snipestall/base/line_writer.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// Lines are written in batches: an instance writes hundreds a second.
+/// Time over which lines are collected into one write, because an instance logs hundreds of lines
+/// per second.
 constexpr std::chrono::milliseconds BatchTime { 20 };
 constexpr int PollMs = 50;
 
@@ -33,7 +34,7 @@
         return;
     {
         const std::lock_guard lock(m_mutex);
-        m_ending = true;
+        m_finishing = true;
     }
     m_wake.notify_one();
     m_thread.join();
@@ -42,13 +43,14 @@
 void LineWriter::write(std::string line)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_queuedBytes + line.size() > MostQueuedBytes) {
+    if (m_queuedBytes + line.size() > MaxQueuedBytes) {
         ++m_dropped;
         return;
     }
     m_queuedBytes += line.size() + 1;
     m_lines.push_back(std::move(line));
-    // The writer looks by itself; waking it for each line would cost a switch of threads each.
+    // The writer collects later lines by itself; waking it for each one would cost a context switch
+    // per line.
     if (m_lines.size() == 1)
         m_wake.notify_one();
 }
@@ -63,25 +65,25 @@
 {
     std::unique_lock lock(m_mutex);
     while (true) {
-        m_wake.wait(lock, [this] { return m_ending || !m_lines.empty(); });
-        if (!m_ending)
-            m_wake.wait_for(lock, BatchTime, [this] { return m_ending; });
+        m_wake.wait(lock, [this] { return m_finishing || !m_lines.empty(); });
+        if (!m_finishing)
+            m_wake.wait_for(lock, BatchTime, [this] { return m_finishing; });
         std::string batch;
         for (const std::string &line : std::exchange(m_lines, {})) {
             batch += line;
             batch += '\n';
         }
         m_queuedBytes = 0;
-        if (m_dropped > m_droppedSaid) {
+        if (m_dropped > m_droppedReported) {
             batch += "{\"severity\":\"warning\",\"name\":\"log-lines-dropped\",\"count\":"
-                + std::to_string(m_dropped - m_droppedSaid) + "}\n";
-            m_droppedSaid = m_dropped;
+                + std::to_string(m_dropped - m_droppedReported) + "}\n";
+            m_droppedReported = m_dropped;
         }
-        const bool ending = m_ending;
+        const bool finishing = m_finishing;
         lock.unlock();
         const bool written = writeAll(batch);
         lock.lock();
-        if (ending || (!written && m_ending))
+        if (finishing || (!written && m_finishing))
             return;
     }
 }
@@ -93,18 +95,18 @@
         pollfd ready { m_descriptor, POLLOUT, 0 };
         if (::poll(&ready, 1, PollMs) <= 0) {
             const std::lock_guard lock(m_mutex);
-            if (m_ending)
+            if (m_finishing)
                 return false;
             continue;
         }
-        // At most what a ready pipe is sure to take, so that the write does not block either.
+        // A pipe that is ready accepts at least this much, so the write doesn't block.
         constexpr std::size_t PipeBytes = 4096;
-        const ssize_t got =
+        const ssize_t written =
             ::write(m_descriptor, text.data() + done, std::min(text.size() - done, PipeBytes));
-        if (got < 0 && errno != EINTR && errno != EAGAIN)
+        if (written < 0 && errno != EINTR && errno != EAGAIN)
             return false;
-        if (got > 0)
-            done += static_cast<std::size_t>(got);
+        if (written > 0)
+            done += static_cast<std::size_t>(written);
     }
     return true;
 }
--- a/src/snipestall/base/line_writer.hpp
+++ b/src/snipestall/base/line_writer.hpp
@@ -10,11 +10,11 @@
 
 namespace snipestall {
 
-/// Writes lines to a file descriptor from a thread of its own.
+/// Writes lines to a file descriptor from a separate thread.
 ///
-/// Failure: whoever reads the log stops reading. It shows as a process whose requests all stand
-/// still, since a write to a full pipe blocks. Lines wait in a bounded queue instead; what does not
-/// fit is dropped and counted, and the count is written once there is room again.
+/// A write to a full pipe blocks, so a reader of the log that stops reading would otherwise stop
+/// all requests of the process. Lines wait in a bounded queue instead. Lines that don't fit are
+/// dropped and counted, and the count is written once there is room again.
 class LineWriter
 {
 public:
@@ -24,19 +24,21 @@
     LineWriter(const LineWriter &) = delete;
     LineWriter &operator=(const LineWriter &) = delete;
 
-    /// Never blocks on the descriptor. The line ends without a newline.
+    /// Queues a line, given without its newline. Never blocks on the descriptor.
     void write(std::string line);
+    /// Number of lines dropped so far.
     [[nodiscard]] std::uint64_t dropped() const;
-    /// Writes what is queued, but waits for a reader that has stopped only a moment. What comes
-    /// later is not written.
+    /// Writes the queued lines and ends the thread, but waits only briefly for a reader that has
+    /// stopped. Later lines are not written.
     void finish();
 
 private:
-    /// Some seconds of a busy instance's lines.
-    static constexpr std::size_t MostQueuedBytes = 2 * 1024 * 1024;
+    /// Holds the lines that a busy instance writes in a few seconds.
+    static constexpr std::size_t MaxQueuedBytes = 2 * 1024 * 1024;
 
     void run();
-    /// False if the descriptor takes no more before the process ends.
+    /// Returns false if the descriptor fails, or accepts no more bytes while the writer is
+    /// finishing.
     bool writeAll(const std::string &text);
 
     int m_descriptor;
@@ -45,8 +47,8 @@
     std::deque<std::string> m_lines;
     std::size_t m_queuedBytes = 0;
     std::uint64_t m_dropped = 0;
-    std::uint64_t m_droppedSaid = 0;
-    bool m_ending = false;
+    std::uint64_t m_droppedReported = 0;
+    bool m_finishing = false;
     std::thread m_thread;
 };
 
--- a/src/snipestall/base/line_writer_test.cpp
+++ b/src/snipestall/base/line_writer_test.cpp
@@ -14,13 +14,13 @@
 {
     std::string text;
     std::array<char, 4096> bytes {};
-    for (ssize_t got = 0; (got = ::read(descriptor, bytes.data(), bytes.size())) > 0;)
-        text.append(bytes.data(), static_cast<std::size_t>(got));
+    for (ssize_t count = 0; (count = ::read(descriptor, bytes.data(), bytes.size())) > 0;)
+        text.append(bytes.data(), static_cast<std::size_t>(count));
     return text;
 }
 
-/// Sum of what the whole lines of a log say was dropped.
-std::uint64_t saidDropped(const std::string &log)
+/// Returns the sum of the counts of dropped lines that the complete lines of a log report.
+std::uint64_t reportedDropped(const std::string &log)
 {
     const std::string mark = "\"log-lines-dropped\",\"count\":";
     std::istringstream lines(log.substr(0, log.rfind('\n') + 1));
@@ -50,9 +50,9 @@
     ::close(pipe[0]);
 }
 
-// All requests of an instance stand still: the program that reads its log is stopped, the pipe
-// fills up, and the loop waits in a write.
-TEST(LineWriter, AReaderThatStopsCostsLinesAndNoTime)
+// Guards against an instance whose requests all stop: the program that reads its log is stopped,
+// the pipe fills up, and the I/O loop blocks in a write.
+TEST(LineWriter, AStoppedReaderDropsLinesWithoutBlocking)
 {
     std::array<int, 2> pipe {};
     ASSERT_EQ(::pipe(pipe.data()), 0);
@@ -65,16 +65,16 @@
             writer.write(line);
         dropped = writer.dropped();
         EXPECT_GT(dropped, 1000U);
-        // Once the reader goes on, the loss is said: in one line, or in several where the writer
+        // Once the reader continues, the loss is reported: in one line, or in several if the writer
         // took a batch while lines were still being dropped.
         std::array<char, 65536> bytes {};
-        while (saidDropped(text) < dropped) {
-            const ssize_t got = ::read(pipe[0], bytes.data(), bytes.size());
-            ASSERT_GT(got, 0);
-            text.append(bytes.data(), static_cast<std::size_t>(got));
+        while (reportedDropped(text) < dropped) {
+            const ssize_t count = ::read(pipe[0], bytes.data(), bytes.size());
+            ASSERT_GT(count, 0);
+            text.append(bytes.data(), static_cast<std::size_t>(count));
         }
     }
-    EXPECT_EQ(saidDropped(text), dropped);
+    EXPECT_EQ(reportedDropped(text), dropped);
     ::close(pipe[0]);
     ::close(pipe[1]);
 }
--- a/src/snipestall/base/log.cpp
+++ b/src/snipestall/base/log.cpp
@@ -22,17 +22,17 @@
 struct LogState
 {
     LogFormat format = LogFormat::Text;
-    Severity least = Severity::Info;
+    Severity minimum = Severity::Info;
 };
 
-/// Lives as long as the process; its end writes what is queued.
+/// Exists until the process exits; its destructor writes the queued lines.
 LineWriter &writer()
 {
     static LineWriter instance(STDOUT_FILENO);
     return instance;
 }
 
-/// Hands each line to the writer thread, so that no write blocks whoever logs.
+/// Passes each line to the writer thread, so that logging never blocks the calling thread.
 class QueueDispatch final : public el::LogDispatchCallback
 {
 protected:
@@ -59,7 +59,7 @@
     return SeverityNames.at(static_cast<std::size_t>(severity));
 }
 
-/// UTC with milliseconds, as RFC 3339 writes it.
+/// Returns the current UTC time with milliseconds in the format of RFC 3339.
 std::string wallTime()
 {
     using namespace std::chrono;
@@ -97,9 +97,9 @@
 
 } // namespace
 
-void initLog(LogFormat format, Severity least)
+void initLog(LogFormat format, Severity minimum)
 {
-    state() = { format, least };
+    state() = { format, minimum };
     el::Configurations configuration;
     configuration.setToDefault();
     configuration.setGlobally(el::ConfigurationType::ToFile, "false");
@@ -121,7 +121,7 @@
 
 void logEvent(const EventInfo &event, std::initializer_list<LogField> fields)
 {
-    if (event.severity < state().least)
+    if (event.severity < state().minimum)
         return;
     const bool json = state().format == LogFormat::Json;
     LOG(INFO) << (json ? asJson(event, fields) : asText(event, fields));
--- a/src/snipestall/base/recent_hashes.cpp
+++ b/src/snipestall/base/recent_hashes.cpp
@@ -6,9 +6,9 @@
 
 void RecentHashes::add(std::uint64_t hash, SteadyTime now)
 {
-    if (now - m_begun >= Generation || m_newer.size() >= MostOfGeneration) {
+    if (now - m_newerSince >= GenerationLength || m_newer.size() >= MaxHashesPerGeneration) {
         m_older = std::exchange(m_newer, {});
-        m_begun = now;
+        m_newerSince = now;
     }
     m_newer.insert(hash);
 }
--- a/src/snipestall/base/recent_hashes_test.cpp
+++ b/src/snipestall/base/recent_hashes_test.cpp
@@ -9,7 +9,7 @@
 
 const SteadyTime Start { 1000s };
 
-TEST(RecentHashes, ForgetsWhatWasSeenMinutesAgo)
+TEST(RecentHashes, ForgetsHashesAfterMinutes)
 {
     RecentHashes recent;
     recent.add(7, Start);
@@ -22,7 +22,7 @@
     EXPECT_TRUE(recent.contains(8));
 }
 
-TEST(RecentHashes, AFloodKeepsTheNewest)
+TEST(RecentHashes, KeepsTheNewestHashesWhenFull)
 {
     RecentHashes recent;
     for (std::uint64_t hash = 1; hash <= 100000; ++hash)
--- a/src/snipestall/base/rendezvous_test.cpp
+++ b/src/snipestall/base/rendezvous_test.cpp
@@ -32,7 +32,7 @@
         EXPECT_NEAR(count, 1000, 150);
 }
 
-TEST(RendezvousTest, OrderBeginsWithThePick)
+TEST(RendezvousTest, OrderStartsWithThePick)
 {
     const auto order = rendezvousOrder("key", Nodes);
     ASSERT_EQ(order.size(), Nodes.size());
--- a/src/snipestall/wire/endpoint.cpp
+++ b/src/snipestall/wire/endpoint.cpp
@@ -11,7 +11,8 @@
 tl::unexpected<Error> badEndpoint(std::string_view text)
 {
     return fail(ErrorKind::InvalidArgument,
-                "'" + std::string(text) + "' is no address; write IP:PORT, as in 127.0.0.1:8080");
+                "'" + std::string(text)
+                    + "' is not an address; write IP:PORT, such as 127.0.0.1:8080");
 }
 
 } // namespace
--- a/src/snipestall/wire/event_splitter.cpp
+++ b/src/snipestall/wire/event_splitter.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// The line at `from`, without its end; advances `from` past it. Nothing if the line has no end.
+/// Returns the line at `from` without its line break and advances `from` past it. Returns nothing
+/// if the line is incomplete.
 std::optional<std::string_view> nextLine(std::string_view text, std::size_t &from)
 {
     const std::size_t end = text.find('\n', from);
@@ -20,6 +21,7 @@
     return line;
 }
 
+/// Value of an "id" field; nothing if the line is another field or the id is not a number.
 std::optional<std::uint64_t> idOf(std::string_view line)
 {
     constexpr std::string_view Field = "id:";
--- a/src/snipestall/wire/event_splitter_test.cpp
+++ b/src/snipestall/wire/event_splitter_test.cpp
@@ -5,7 +5,7 @@
 namespace snipestall::wire {
 namespace {
 
-TEST(EventSplitter, KeepsTheBytesOfEachEventWhateverTheBordersOfTheChunks)
+TEST(EventSplitter, KeepsTheBytesOfEachEventHoweverTheBodyIsSplit)
 {
     const std::string body = "id: 1\ndata: a\n\nversion:3\r\nid:2\r\ndata: b\r\n\r\n";
     for (std::size_t cut = 0; cut <= body.size(); ++cut) {
@@ -21,9 +21,10 @@
     }
 }
 
-// A caller sees half an event followed by the whole one: a backend server dies in the middle of an
-// event, the stream goes on at another server, and the half that had arrived was passed on.
-TEST(EventSplitter, HoldsBackAnEventThatBrokeOff)
+// Guards against a caller that receives half an event followed by the complete one: a backend
+// server crashes while it sends an event, the half that arrived is forwarded, and another server
+// resumes the stream with the same event.
+TEST(EventSplitter, HoldsBackAnIncompleteEvent)
 {
     EventSplitter splitter;
     const auto events = splitter.feed("id: 7\ndata: whole\n\nid: 8\ndata: ha");
@@ -32,7 +33,7 @@
     EXPECT_EQ(splitter.rest(), "id: 8\ndata: ha");
 }
 
-TEST(EventSplitter, TakesNoIdFromWhatIsNoNumber)
+TEST(EventSplitter, IgnoresAnIdThatIsNotANumber)
 {
     EventSplitter splitter;
     const auto events = splitter.feed("id: x1\ndata: a\n\n");
--- a/src/snipestall/wire/event_stream_parser.cpp
+++ b/src/snipestall/wire/event_stream_parser.cpp
@@ -9,7 +9,7 @@
     std::vector<StreamEvent> events;
     for (const char c : bytes) {
         if (c == '\n') {
-            takeLine(m_line, events);
+            parseLine(m_line, events);
             m_line.clear();
         } else if (c != '\r') {
             m_line.push_back(c);
@@ -18,7 +18,7 @@
     return events;
 }
 
-void EventStreamParser::takeLine(std::string_view line, std::vector<StreamEvent> &events)
+void EventStreamParser::parseLine(std::string_view line, std::vector<StreamEvent> &events)
 {
     if (line.empty()) {
         if (m_hasData)
--- a/src/snipestall/wire/event_stream_parser_test.cpp
+++ b/src/snipestall/wire/event_stream_parser_test.cpp
@@ -5,9 +5,9 @@
 namespace snipestall::wire {
 namespace {
 
-// Chunks are cut anywhere by the network. A parser that took a chunk for an event would lose or
-// split a token there.
-TEST(EventStreamParserTest, GivesTheSameEventsWhereverTheBytesAreCut)
+// The network may split the body at any byte. A parser that treated a chunk as an event would lose
+// or split a token there.
+TEST(EventStreamParserTest, GivesTheSameEventsWhereverTheBodyIsSplit)
 {
     const std::string body =
         "id: 1\ndata: {\"a\":1}\n\n: comment\nevent: end\r\ndata: x\ndata: y\n\n";
--- a/src/snipestall/wire/http_client.cpp
+++ b/src/snipestall/wire/http_client.cpp
@@ -24,8 +24,8 @@
 
 constexpr auto UseTuple = asio::as_tuple(asio::use_awaitable);
 constexpr std::size_t MaxIdlePerEndpoint = 16;
-constexpr std::uint64_t MaxAnswerBytes = 64ULL * 1024 * 1024;
-constexpr std::size_t ReadBytes = 16 * 1024;
+constexpr std::uint64_t MaxResponseBytes = 64ULL * 1024 * 1024;
+constexpr std::size_t ReadBufferBytes = 16 * 1024;
 
 struct Connection
 {
@@ -39,12 +39,12 @@
 
 using ConnectionPtr = std::unique_ptr<Connection>;
 
-tl::unexpected<Error> lost(const Endpoint &endpoint, const beast::error_code &ec)
+tl::unexpected<Error> connectionLost(const Endpoint &endpoint, const beast::error_code &ec)
 {
     const bool timedOut = ec == beast::error::timeout;
     return fail(timedOut ? ErrorKind::DeadlineExceeded : ErrorKind::OutcomeUnknown,
-                endpoint.toString() + " broke off: " + ec.message()
-                    + "; whether it ran must be read back");
+                endpoint.toString() + ": connection lost: " + ec.message()
+                    + "; read back whether the request ran");
 }
 
 } // namespace
@@ -56,7 +56,7 @@
     { }
 
     ConnectionPtr takeIdle(const Endpoint &endpoint);
-    void giveBack(const Endpoint &endpoint, ConnectionPtr connection);
+    void returnIdle(const Endpoint &endpoint, ConnectionPtr connection);
 
     asio::io_context &io;
     std::map<Endpoint, std::vector<ConnectionPtr>> idle;
@@ -64,42 +64,43 @@
 
 ConnectionPtr HttpClient::State::takeIdle(const Endpoint &endpoint)
 {
-    auto &kept = idle[endpoint];
-    while (!kept.empty()) {
-        ConnectionPtr connection = std::move(kept.back());
-        kept.pop_back();
+    auto &connections = idle[endpoint];
+    while (!connections.empty()) {
+        ConnectionPtr connection = std::move(connections.back());
+        connections.pop_back();
         if (isIdleAndOpen(connection->stream.socket()))
             return connection;
     }
     return nullptr;
 }
 
-void HttpClient::State::giveBack(const Endpoint &endpoint, ConnectionPtr connection)
+void HttpClient::State::returnIdle(const Endpoint &endpoint, ConnectionPtr connection)
 {
-    // Bytes beyond the answer belong to nobody: the connection can't be trusted any more.
+    // Bytes after the end of the response belong to no request, so the connection must not be
+    // reused.
     if (connection->buffer.size() != 0)
         return;
-    auto &kept = idle[endpoint];
+    auto &connections = idle[endpoint];
     connection->stream.expires_never();
-    if (kept.size() < MaxIdlePerEndpoint)
-        kept.push_back(std::move(connection));
+    if (connections.size() < MaxIdlePerEndpoint)
+        connections.push_back(std::move(connection));
 }
 
 namespace {
 
-/// Reads one answer; returns its connection to the pool only when it was read to its end.
+/// Reads one response; returns its connection to the pool only if the response was read to its end.
 template<typename State>
-class TcpStreamAnswer final : public HttpStream
+class TcpResponseStream final : public HttpStream
 {
 public:
-    TcpStreamAnswer(std::shared_ptr<State> state, Endpoint endpoint, ConnectionPtr connection,
-                    std::chrono::milliseconds idleTimeout)
+    TcpResponseStream(std::shared_ptr<State> state, Endpoint endpoint, ConnectionPtr connection,
+                      std::chrono::milliseconds idleTimeout)
         : m_state(std::move(state))
         , m_endpoint(std::move(endpoint))
         , m_connection(std::move(connection))
         , m_idleTimeout(idleTimeout)
     {
-        m_parser.body_limit(MaxAnswerBytes);
+        m_parser.body_limit(MaxResponseBytes);
     }
 
     Task<beast::error_code> readHead()
@@ -120,10 +121,10 @@
 
     Task<Result<std::optional<std::string>>> read() override
     {
-        std::string bytes(ReadBytes, '\0');
+        std::string bytes(ReadBufferBytes, '\0');
         while (!m_parser.is_done()) {
             if (m_connection == nullptr)
-                co_return lost(m_endpoint, asio::error::operation_aborted);
+                co_return connectionLost(m_endpoint, asio::error::operation_aborted);
             m_parser.get().body().data = bytes.data();
             m_parser.get().body().size = bytes.size();
             m_connection->stream.expires_after(m_idleTimeout);
@@ -132,11 +133,11 @@
             if (ec == http::error::need_buffer)
                 ec = {};
             if (ec)
-                co_return lost(m_endpoint, ec);
-            const std::size_t got = bytes.size() - m_parser.get().body().size;
-            if (got == 0)
+                co_return connectionLost(m_endpoint, ec);
+            const std::size_t received = bytes.size() - m_parser.get().body().size;
+            if (received == 0)
                 continue;
-            bytes.resize(got);
+            bytes.resize(received);
             co_return std::optional<std::string>(std::move(bytes));
         }
         release();
@@ -155,7 +156,7 @@
         if (m_connection == nullptr)
             return;
         if (m_parser.get().keep_alive())
-            m_state->giveBack(m_endpoint, std::move(m_connection));
+            m_state->returnIdle(m_endpoint, std::move(m_connection));
         m_connection.reset();
     }
 
@@ -196,30 +197,31 @@
     ConnectionPtr connection = options.freshConnection ? nullptr : state->takeIdle(endpoint);
     if (connection == nullptr) {
         connection = std::make_unique<Connection>(state->io);
-        beast::error_code bad;
-        const tcp::endpoint remote(asio::ip::make_address(endpoint.host, bad), endpoint.port);
+        beast::error_code ignored;
+        const tcp::endpoint remote(asio::ip::make_address(endpoint.host, ignored), endpoint.port);
         connection->stream.expires_after(options.connectTimeout);
         auto [ec] = co_await connection->stream.async_connect(remote, UseTuple);
         if (ec)
             co_return fail(ErrorKind::Unavailable,
                            "can't connect to " + endpoint.toString() + ": " + ec.message()
-                               + "; check that it runs");
+                               + "; check that it is running");
         detectLostPeer(connection->stream.socket());
         resetOnClose(connection->stream.socket());
     }
     if (options.beforeSend && !options.beforeSend())
-        co_return fail(ErrorKind::Unavailable, "given up before a byte was sent; nothing ran");
+        co_return fail(ErrorKind::Unavailable,
+                       "abandoned before a byte was sent; the request did not run");
     const auto message = toMessage(endpoint, std::move(request));
     connection->stream.expires_after(options.idleTimeout);
     auto [ec, sent] = co_await http::async_write(connection->stream, message, UseTuple);
     if (ec)
-        co_return lost(endpoint, ec);
-    auto answer = std::make_unique<TcpStreamAnswer<State>>(state, endpoint, std::move(connection),
-                                                           options.idleTimeout);
-    const beast::error_code headError = co_await answer->readHead();
+        co_return connectionLost(endpoint, ec);
+    auto response = std::make_unique<TcpResponseStream<State>>(
+        state, endpoint, std::move(connection), options.idleTimeout);
+    const beast::error_code headError = co_await response->readHead();
     if (headError)
-        co_return lost(endpoint, headError);
-    co_return std::unique_ptr<HttpStream>(std::move(answer));
+        co_return connectionLost(endpoint, headError);
+    co_return std::unique_ptr<HttpStream>(std::move(response));
 }
 
 Task<Result<HttpResponse>> HttpClient::fetch(Endpoint endpoint, HttpRequest request,
--- a/src/snipestall/wire/http_server.cpp
+++ b/src/snipestall/wire/http_server.cpp
@@ -28,13 +28,14 @@
 
 constexpr auto UseTuple = asio::as_tuple(asio::use_awaitable);
 constexpr std::uint32_t MaxHeaderBytes = 32 * 1024;
-/// An idle or half-sent request may hold a connection this long; then it is closed.
-constexpr std::chrono::seconds ReadPatience { 60 };
-/// A caller that takes no bytes for this long is gone; it can come back at its offset.
-constexpr std::chrono::seconds WritePatience { 30 };
-constexpr std::chrono::seconds DiscardPatience { 2 };
-constexpr std::size_t DiscardChunk = 64 * 1024;
-constexpr std::size_t MaxDiscarded = 64 * 1024 * 1024;
+/// Time that a connection may stay idle or take to deliver a request before it is closed.
+constexpr std::chrono::seconds ReadTimeout { 60 };
+/// A caller that receives no bytes for this time is considered gone; it can reconnect and resume at
+/// its offset.
+constexpr std::chrono::seconds WriteTimeout { 30 };
+constexpr std::chrono::seconds DiscardTimeout { 2 };
+constexpr std::size_t DiscardBufferBytes = 64 * 1024;
+constexpr std::size_t MaxDiscardedBytes = 64 * 1024 * 1024;
 
 HttpRequest toRequest(http::request<http::string_body> &&message)
 {
@@ -54,7 +55,7 @@
         to.set(name, value);
 }
 
-/// One exchange over a plain TCP connection.
+/// An exchange over an unencrypted TCP connection.
 class TcpExchange final : public HttpExchange
 {
 public:
@@ -64,7 +65,7 @@
         , m_keepAlive(keepAlive)
     { }
 
-    ~TcpExchange() override { m_watch.emit(asio::cancellation_type::all); }
+    ~TcpExchange() override { m_stopPeerWatch.emit(asio::cancellation_type::all); }
 
     [[nodiscard]] const HttpRequest &request() const override { return m_request; }
     [[nodiscard]] bool keepAlive() const { return m_keepAlive && m_ended && !m_aborted; }
@@ -78,7 +79,7 @@
         message.keep_alive(m_keepAlive);
         message.body() = std::move(response.body);
         message.prepare_payload();
-        m_stream.expires_after(WritePatience);
+        m_stream.expires_after(WriteTimeout);
         co_await http::async_write(m_stream, message, asio::use_awaitable);
         m_ended = true;
     }
@@ -90,7 +91,7 @@
         message.keep_alive(m_keepAlive);
         message.chunked(true);
         http::response_serializer<http::empty_body> serializer(message);
-        m_stream.expires_after(WritePatience);
+        m_stream.expires_after(WriteTimeout);
         co_await http::async_write_header(m_stream, serializer, asio::use_awaitable);
     }
 
@@ -98,14 +99,14 @@
     {
         if (chunk.empty())
             co_return;
-        m_stream.expires_after(WritePatience);
+        m_stream.expires_after(WriteTimeout);
         const auto buffers = http::make_chunk(asio::buffer(chunk));
         co_await asio::async_write(m_stream, buffers, asio::use_awaitable);
     }
 
     Task<void> finish() override
     {
-        m_stream.expires_after(WritePatience);
+        m_stream.expires_after(WriteTimeout);
         const auto last = http::make_chunk_last();
         co_await asio::async_write(m_stream, last, asio::use_awaitable);
         m_ended = true;
@@ -119,24 +120,25 @@
         m_stream.close();
     }
 
-    // A caller that hangs up while its request waits in a queue would otherwise hold a slot that
-    // nobody wants. A readable socket without a byte in it is the end of the stream.
+    // Without this, a caller that disconnects while its request waits in a queue would still take
+    // up a slot. A readable socket that has no byte to read has reached the end of its stream.
     void onPeerClosed(std::function<void()> callback) override
     {
         auto &socket = m_stream.socket();
-        socket.async_wait(
-            tcp::socket::wait_read,
-            asio::bind_cancellation_slot(
-                m_watch.slot(), [&socket, callback = std::move(callback)](beast::error_code ec) {
-                    if (ec)
-                        return;
-                    char byte = 0;
-                    socket.non_blocking(true);
-                    beast::error_code peeked;
-                    socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, peeked);
-                    if (peeked && peeked != asio::error::would_block)
-                        callback();
-                }));
+        socket.async_wait(tcp::socket::wait_read,
+                          asio::bind_cancellation_slot(
+                              m_stopPeerWatch.slot(),
+                              [&socket, callback = std::move(callback)](beast::error_code ec) {
+                                  if (ec)
+                                      return;
+                                  char byte = 0;
+                                  socket.non_blocking(true);
+                                  beast::error_code peeked;
+                                  socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek,
+                                                 peeked);
+                                  if (peeked && peeked != asio::error::would_block)
+                                      callback();
+                              }));
     }
 
 private:
@@ -145,19 +147,20 @@
     bool m_keepAlive;
     bool m_ended = false;
     bool m_aborted = false;
-    asio::cancellation_signal m_watch;
+    asio::cancellation_signal m_stopPeerWatch;
 };
 
-// A caller that is still sending when the connection closes gets a reset in place of the answer
-// that names its mistake. So the rest is read and thrown away, within bounds.
+// If the connection were closed while the caller is still sending, it would get a reset instead of
+// the error response. The rest of the request is therefore read and discarded, up to a limit of
+// bytes and of time.
 Task<void> discardRest(beast::tcp_stream &stream)
 {
     beast::error_code ignored;
     stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
-    stream.expires_after(DiscardPatience);
-    std::vector<char> bytes(DiscardChunk);
+    stream.expires_after(DiscardTimeout);
+    std::vector<char> bytes(DiscardBufferBytes);
     std::size_t total = 0;
-    while (total < MaxDiscarded) {
+    while (total < MaxDiscardedBytes) {
         const auto buffer = asio::buffer(bytes);
         auto [ec, count] = co_await stream.async_read_some(buffer, UseTuple);
         if (ec)
@@ -166,7 +169,7 @@
     }
 }
 
-HttpResponse refusal(int status, const std::string &message)
+HttpResponse errorResponse(int status, const std::string &message)
 {
     return HttpResponse::json(
         status, R"({"error":{"type":"invalid_request","message":")" + message + "\"}}");
@@ -223,7 +226,7 @@
         beast::error_code ignored;
         stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
     } catch (const boost::system::system_error &) {
-        // The peer hung up or stayed silent: nobody is left to be told.
+        // The peer closed the connection or timed out, so no response can be sent.
     }
     --connections;
 }
@@ -233,18 +236,19 @@
     http::request_parser<http::string_body> parser;
     parser.body_limit(options.maxBody);
     parser.header_limit(MaxHeaderBytes);
-    stream.expires_after(ReadPatience);
+    stream.expires_after(ReadTimeout);
     auto [ec, bytes] = co_await http::async_read(stream, buffer, parser, UseTuple);
     if (ec == http::error::body_limit || ec == http::error::header_limit) {
         TcpExchange exchange(stream, {}, false);
-        co_await exchange.respond(refusal(413, "the body is too large; send a shorter one"));
+        co_await exchange.respond(
+            errorResponse(413, "the header or body is too large; send a shorter one"));
         co_await discardRest(stream);
         co_return false;
     }
     if (ec && ec.category() == http::make_error_code(http::error::bad_version).category()
         && ec != http::error::end_of_stream && ec != http::error::partial_message) {
         TcpExchange exchange(stream, {}, false);
-        co_await exchange.respond(refusal(400, "malformed HTTP; send an HTTP/1.1 request"));
+        co_await exchange.respond(errorResponse(400, "malformed HTTP; send an HTTP/1.1 request"));
         co_return false;
     }
     if (ec)
--- a/src/snipestall/wire/http_test.cpp
+++ b/src/snipestall/wire/http_test.cpp
@@ -57,7 +57,7 @@
     EXPECT_EQ(response->body, "hello");
 }
 
-TEST_F(HttpTest, StreamsChunksToTheEnd)
+TEST_F(HttpTest, ReadsAllChunksOfAStream)
 {
     const Endpoint endpoint = listen([](HttpExchange &exchange) -> Task<void> {
         HttpResponse head;
@@ -72,8 +72,8 @@
     EXPECT_EQ(response->body.substr(response->body.size() - 3), "49,");
 }
 
-// A backend server dies in the middle of its answer. A client that takes what came for the whole
-// would hand a cut answer to the caller; it must see an error instead.
+// Guards against an incomplete response that is passed to the caller as complete: a backend server
+// crashes while it sends its response, and the client doesn't report an error.
 TEST_F(HttpTest, ACutBodyIsAnErrorAndNotAnAnswer)
 {
     const Endpoint endpoint = listen([](HttpExchange &exchange) -> Task<void> {
@@ -87,7 +87,7 @@
     EXPECT_EQ(response.error().kind, ErrorKind::OutcomeUnknown);
 }
 
-TEST_F(HttpTest, ARefusedConnectionPromisesThatNothingRan)
+TEST_F(HttpTest, ARefusedConnectionIsUnavailable)
 {
     Endpoint nobody = listen([](HttpExchange &) -> Task<void> { co_return; });
     m_server.reset();
@@ -112,7 +112,7 @@
     EXPECT_EQ(response->status, 413);
 }
 
-TEST(EndpointTest, ParsesIpNumbersOnly)
+TEST(EndpointTest, ParsesIpAddressesOnly)
 {
     EXPECT_EQ(Endpoint::parse("127.0.0.1:80")->port, 80);
     EXPECT_EQ(Endpoint::parse("[::1]:80")->toString(), "[::1]:80");
--- a/src/snipestall/wire/socket_options.cpp
+++ b/src/snipestall/wire/socket_options.cpp
@@ -15,10 +15,10 @@
 template<int Name>
 using TcpOption = boost::asio::detail::socket_option::integer<IPPROTO_TCP, Name>;
 
-/// Some hundred round trips between the data centres of one region, so that lost packets alone
-/// don't end a connection.
+/// About a hundred round trips between the data centres of one region, so that packet loss alone
+/// doesn't end a connection.
 constexpr int UserTimeoutMs = 1500;
-/// The shortest that the kernel offers.
+/// The shortest time that the kernel supports.
 constexpr int KeepAliveIdleS = 1;
 constexpr int KeepAliveIntervalS = 1;
 constexpr int KeepAliveProbes = 2;
@@ -53,7 +53,7 @@
         return false;
     if (error || unread == 0)
         return true;
-    // Unread bytes lie before the close.
+    // receive() doesn't report a close that is preceded by unread bytes; poll() does.
     pollfd state { socket.native_handle(), POLLRDHUP, 0 };
     return ::poll(&state, 1, 0) > 0 && (state.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
