--- a/apps/snipestall_load/answer_checker.cpp
+++ b/apps/snipestall_load/answer_checker.cpp
@@ -10,8 +10,8 @@
 
 constexpr std::size_t HashDigits = 8;
 
-/// Number behind "<hash>:", or nothing.
-std::optional<std::int64_t> indexOf(std::string_view token)
+/// Index of a token of the form "<hash>:<index>"; nothing if the token has another form.
+std::optional<std::int64_t> tokenIndex(std::string_view token)
 {
     if (token.size() <= HashDigits + 1 || token[HashDigits] != ':')
         return std::nullopt;
@@ -30,50 +30,51 @@
     , m_maxTokens(maxTokens)
 { }
 
-void AnswerChecker::take(std::string_view text)
+void AnswerChecker::addText(std::string_view text)
 {
     while (!text.empty()) {
         const std::size_t space = text.find(' ');
         const std::string_view token = text.substr(0, space);
-        takeToken(token);
+        checkToken(token);
         text = space == std::string_view::npos ? std::string_view() : text.substr(space + 1);
     }
 }
 
-void AnswerChecker::takeToken(std::string_view token)
+void AnswerChecker::checkToken(std::string_view token)
 {
-    const auto index = indexOf(token);
+    const auto index = tokenIndex(token);
     if (!index || token.substr(0, HashDigits) != m_hash) {
-        report(ViolationKind::Mixed, "token '" + std::string(token) + "' is not of this prompt");
+        addViolation(ViolationKind::Mixed,
+                     "token '" + std::string(token) + "' does not belong to this prompt");
         return;
     }
-    const std::string place =
-        std::to_string(*index) + " where " + std::to_string(m_next) + " was expected";
-    if (*index < m_next) {
-        report(ViolationKind::Doubled, "token " + place);
+    const std::string position =
+        std::to_string(*index) + " where " + std::to_string(m_nextIndex) + " was expected";
+    if (*index < m_nextIndex) {
+        addViolation(ViolationKind::Doubled, "token " + position);
         return;
     }
-    if (*index > m_next)
-        report(ViolationKind::Cut, "gap: token " + place);
-    m_next = *index + 1;
+    if (*index > m_nextIndex)
+        addViolation(ViolationKind::Cut, "tokens are missing: token " + position);
+    m_nextIndex = *index + 1;
 }
 
 void AnswerChecker::end()
 {
-    if (m_next == m_maxTokens)
+    if (m_nextIndex == m_maxTokens)
         return;
-    report(ViolationKind::Cut,
-           "ended after " + std::to_string(m_next) + " of " + std::to_string(m_maxTokens)
-               + " tokens");
+    addViolation(ViolationKind::Cut,
+                 "the answer ended after " + std::to_string(m_nextIndex) + " of "
+                     + std::to_string(m_maxTokens) + " tokens");
 }
 
-void AnswerChecker::rewind(std::int64_t next)
+void AnswerChecker::rewind(std::int64_t nextIndex)
 {
-    if (next < m_next)
-        m_next = next;
+    if (nextIndex < m_nextIndex)
+        m_nextIndex = nextIndex;
 }
 
-void AnswerChecker::report(ViolationKind kind, std::string detail)
+void AnswerChecker::addViolation(ViolationKind kind, std::string detail)
 {
     m_violations.push_back({ kind, std::move(detail) });
 }
--- a/apps/snipestall_load/answer_checker.hpp
+++ b/apps/snipestall_load/answer_checker.hpp
@@ -10,29 +10,33 @@
 
 namespace snipestall::load {
 
-/// Checks one streamed answer token by token against the prompt that it belongs to.
+/// Checks a streamed answer of a stand-in engine token by token: each token must hold the hash of
+/// the prompt and the next index.
 class AnswerChecker
 {
 public:
+    /// The complete answer has `maxTokens` tokens.
     AnswerChecker(std::string_view prompt, std::int64_t maxTokens);
 
-    /// Takes one or more whole tokens of text.
-    void take(std::string_view text);
-    /// The server called the answer whole.
+    /// Checks one or more whole tokens, separated by spaces.
+    void addText(std::string_view text);
+    /// Checks the length of the answer, after the server has marked it as complete.
     void end();
-    /// The server told the caller to come back at an earlier offset: what follows is no repeat.
-    void rewind(std::int64_t next);
+    /// Continues at an earlier index because the server told the caller to resume there: the tokens
+    /// that follow do not count as repeated. A later index has no effect.
+    void rewind(std::int64_t nextIndex);
 
-    [[nodiscard]] std::int64_t next() const { return m_next; }
+    /// Index of the next expected token.
+    [[nodiscard]] std::int64_t nextIndex() const { return m_nextIndex; }
     [[nodiscard]] const std::vector<Violation> &violations() const { return m_violations; }
 
 private:
-    void takeToken(std::string_view token);
-    void report(ViolationKind kind, std::string detail);
+    void checkToken(std::string_view token);
+    void addViolation(ViolationKind kind, std::string detail);
 
     std::string m_hash;
     std::int64_t m_maxTokens;
-    std::int64_t m_next = 0;
+    std::int64_t m_nextIndex = 0;
     std::vector<Violation> m_violations;
 };
 
--- a/apps/snipestall_load/answer_checker_test.cpp
+++ b/apps/snipestall_load/answer_checker_test.cpp
@@ -13,7 +13,7 @@
 class AnswerCheckerTest : public testing::Test
 {
 protected:
-    void take(std::int64_t index) { m_checker.take(tokenText(promptHash("mine"), index)); }
+    void addToken(std::int64_t index) { m_checker.addText(tokenText(promptHash("mine"), index)); }
 
     [[nodiscard]] std::vector<ViolationKind> kinds() const
     {
@@ -28,44 +28,44 @@
 
 using Kinds = std::vector<ViolationKind>;
 
-TEST_F(AnswerCheckerTest, AWholeAnswerIsFineInChunksOfAnySize)
+TEST_F(AnswerCheckerTest, CompleteAnswerInChunksOfAnySizeIsAccepted)
 {
-    take(0);
-    m_checker.take(tokenText(promptHash("mine"), 1) + tokenText(promptHash("mine"), 2));
+    addToken(0);
+    m_checker.addText(tokenText(promptHash("mine"), 1) + tokenText(promptHash("mine"), 2));
     m_checker.end();
     EXPECT_EQ(kinds(), Kinds {});
 }
 
-// A stream is resumed one token too early: the caller would read a word twice.
+// A stream is resumed one token too early, so that the caller reads a token twice.
 TEST_F(AnswerCheckerTest, ARepeatedTokenIsDoubled)
 {
-    take(0);
-    take(0);
+    addToken(0);
+    addToken(0);
     EXPECT_EQ(kinds(), Kinds { ViolationKind::Doubled });
 }
 
 TEST_F(AnswerCheckerTest, AGapOrAnEarlyEndIsCut)
 {
-    take(1);
+    addToken(1);
     m_checker.end();
     EXPECT_EQ(kinds(), (Kinds { ViolationKind::Cut, ViolationKind::Cut }));
 }
 
-// Two streams share a connection and one gets the other's token.
-TEST_F(AnswerCheckerTest, AnotherPromptsTokenIsMixed)
+// Two streams share a connection, and one of them receives a token of the other.
+TEST_F(AnswerCheckerTest, TokenOfAnotherPromptIsMixed)
 {
-    take(0);
-    m_checker.take(tokenText(promptHash("yours"), 1));
+    addToken(0);
+    m_checker.addText(tokenText(promptHash("yours"), 1));
     EXPECT_EQ(kinds(), Kinds { ViolationKind::Mixed });
 }
 
-TEST_F(AnswerCheckerTest, AnOrderedRewindIsNoRepeat)
+TEST_F(AnswerCheckerTest, TokensRepeatedAfterARewindAreAccepted)
 {
-    take(0);
-    take(1);
+    addToken(0);
+    addToken(1);
     m_checker.rewind(1);
-    take(1);
-    take(2);
+    addToken(1);
+    addToken(2);
     m_checker.end();
     EXPECT_EQ(kinds(), Kinds {});
 }
--- a/apps/snipestall_load/call_context.hpp
+++ b/apps/snipestall_load/call_context.hpp
@@ -12,9 +12,10 @@
 
 namespace snipestall::load {
 
-/// What every call of a phase works with; all outlive it.
+/// Resources shared by all calls of a phase. The referenced objects outlive the calls.
 struct CallContext
 {
+    /// Target of a number; numbers beyond the last target start again at the first.
     [[nodiscard]] const wire::Endpoint &target(std::size_t number) const
     {
         return targets[number % targets.size()];
@@ -24,8 +25,9 @@
     const Mix &mix;
     Results &results;
     std::vector<wire::Endpoint> targets;
+    /// Customer's key of calls whose class of work has none.
     std::string key;
-    /// How long a caller goes on coming back for an accepted request beyond its deadline.
+    /// How long after the deadline of an accepted request a caller still tries to resume it.
     std::chrono::milliseconds patience { 30000 };
 };
 
--- a/apps/snipestall_load/chat_call.cpp
+++ b/apps/snipestall_load/chat_call.cpp
@@ -1,5 +1,5 @@
 #include "answer_checker.hpp"
-#include "caller.hpp"
+#include "load_generator.hpp"
 #include "token_times.hpp"
 
 #include "snipestall/wire/event_stream_parser.hpp"
@@ -24,21 +24,21 @@
 namespace {
 
 constexpr int MaxTries = 5;
-constexpr std::size_t RoundsOfTargets = 3;
-constexpr milliseconds RoundPause { 100 };
-constexpr milliseconds SilenceLimit { 30000 };
-/// Of calls that name none; the settings' default.
-constexpr milliseconds UsualDeadline { 60000 };
+constexpr std::size_t MaxTargetRounds = 3;
+constexpr milliseconds RetryPause { 100 };
+constexpr milliseconds IdleTimeout { 30000 };
+/// Deadline of calls that set none; the default of the settings.
+constexpr milliseconds DefaultDeadline { 60000 };
 
 enum class StreamEnd {
-    Whole,
+    Complete,
     Cut,
-    /// The stream itself told the outcome.
-    Told,
+    /// The stream ended with an error event that names the outcome.
+    ErrorEvent,
 };
 
-/// One chat call through snipestall: sent, read, come back for after a cut, tried again after a
-/// refusal.
+/// One chat call through snipestall. It is resumed after its stream was cut, and sent again after a
+/// refusal with a Retry-After header.
 class ChatCall
 {
 public:
@@ -51,8 +51,8 @@
         , m_target(call.target)
     {
         const milliseconds asked = context.mix.classes[call.workClass].deadline;
-        const milliseconds deadline = asked.count() > 0 ? asked : UsualDeadline;
-        m_giveUp = due + deadline + context.patience;
+        const milliseconds deadline = asked.count() > 0 ? asked : DefaultDeadline;
+        m_resumeUntil = due + deadline + context.patience;
     }
 
     Task<CallRecord> run()
@@ -82,56 +82,56 @@
         body["stream"] = true;
         body["max_tokens"] = m_call.maxTokens;
         body["messages"] = json::array { std::move(message) };
-        return { "POST", "/v1/chat/completions", callFields(m_context, m_call),
+        return { "POST", "/v1/chat/completions", callHeaders(m_context, m_call),
                  json::serialize(body) };
     }
 
     Task<void> submit()
     {
-        const std::size_t tries = m_context.targets.size() * RoundsOfTargets;
+        const std::size_t tries = m_context.targets.size() * MaxTargetRounds;
         m_record.outcome = CallOutcome::Unreachable;
         for (std::size_t i = 0; i < tries; ++i) {
             const wire::Endpoint target = m_context.target(m_target);
             wire::HttpCallOptions options;
-            options.idleTimeout = SilenceLimit;
+            options.idleTimeout = IdleTimeout;
             auto stream = co_await m_context.client.open(target, request(), std::move(options));
             if (stream) {
-                co_await takeAnswer(std::move(*stream));
+                co_await readAnswer(std::move(*stream));
                 co_return;
             }
             ++m_target;
             m_record.reason = stream.error().message;
-            const bool left = stream.error().kind != ErrorKind::Unavailable;
-            const bool mayRepeat = m_call.idempotent || !m_call.idempotencyKey.empty();
-            if (left && !mayRepeat) {
+            const bool maybeSent = stream.error().kind != ErrorKind::Unavailable;
+            const bool mayResend = m_call.idempotent || !m_call.idempotencyKey.empty();
+            if (maybeSent && !mayResend) {
                 m_record.outcome = CallOutcome::NoAnswer;
                 co_return;
             }
-            m_record.resends += left ? 1 : 0;
-            co_await wire::sleepFor(RoundPause);
+            m_record.resends += maybeSent ? 1 : 0;
+            co_await wire::sleepFor(RetryPause);
         }
     }
 
-    Task<void> takeAnswer(StreamPtr stream)
+    Task<void> readAnswer(StreamPtr stream)
     {
         const HttpResponse &head = stream->head();
         m_record.request = head.fields.find("Snipestall-Request-Id").value_or("");
-        const bool moved = head.status == 307;
-        if (head.status != 200 && !moved) {
-            co_await takeError(std::move(stream));
+        const bool redirected = head.status == 307;
+        if (head.status != 200 && !redirected) {
+            co_await readError(std::move(stream));
             co_return;
         }
         StreamEnd end = StreamEnd::Cut;
-        if (!moved)
+        if (!redirected)
             end = co_await readEvents(*stream);
         stream.reset();
         if (end == StreamEnd::Cut)
-            co_await comeBack();
-        else if (end == StreamEnd::Whole)
-            completed();
+            co_await resume();
+        else if (end == StreamEnd::Complete)
+            markCompleted();
     }
 
-    Task<void> takeError(StreamPtr stream)
+    Task<void> readError(StreamPtr stream)
     {
         HttpResponse response = stream->head();
         auto bytes = co_await stream->read();
@@ -139,10 +139,10 @@
             response.body += **bytes;
             bytes = co_await stream->read();
         }
-        m_retryAfter = readRefusal(response, m_record);
+        m_retryAfter = readErrorAnswer(response, m_record);
     }
 
-    void completed()
+    void markCompleted()
     {
         m_record.outcome = CallOutcome::Completed;
         m_checker.end();
@@ -155,23 +155,23 @@
         while (true) {
             auto bytes = co_await stream.read();
             if (!bytes)
-                co_return done ? StreamEnd::Whole : StreamEnd::Cut;
+                co_return done ? StreamEnd::Complete : StreamEnd::Cut;
             if (!bytes->has_value())
                 break;
             for (const auto &event : parser.feed(**bytes)) {
                 if (event.event == "error") {
-                    takeErrorEvent(event.data);
-                    co_return StreamEnd::Told;
+                    readErrorEvent(event.data);
+                    co_return StreamEnd::ErrorEvent;
                 }
                 done = done || event.data == "[DONE]";
                 if (event.event.empty() && event.data != "[DONE]")
-                    takeChunk(event.data);
+                    readChunk(event.data);
             }
         }
-        co_return done ? StreamEnd::Whole : StreamEnd::Cut;
+        co_return done ? StreamEnd::Complete : StreamEnd::Cut;
     }
 
-    void takeChunk(const std::string &data)
+    void readChunk(const std::string &data)
     {
         boost::system::error_code ec;
         const json::value chunk = json::parse(data, ec);
@@ -182,11 +182,11 @@
         const std::string_view text = content->as_string();
         if (text.empty())
             return;
-        m_checker.take(text);
-        m_times.token(std::chrono::steady_clock::now(), m_record);
+        m_checker.addText(text);
+        m_times.recordToken(std::chrono::steady_clock::now(), m_record);
     }
 
-    void takeErrorEvent(const std::string &data)
+    void readErrorEvent(const std::string &data)
     {
         HttpResponse response;
         response.status = 500;
@@ -197,68 +197,70 @@
         if (outcome != nullptr && outcome->is_string())
             response.fields.set("Snipestall-Outcome", std::string(outcome->as_string()));
         response.fields.set("Snipestall-Request-Id", m_record.request);
-        m_retryAfter = readRefusal(response, m_record);
+        m_retryAfter = readErrorAnswer(response, m_record);
     }
 
-    Task<void> comeBack()
+    Task<void> resume()
     {
         m_record.outcome = CallOutcome::Lost;
-        while (std::chrono::steady_clock::now() < m_giveUp) {
+        while (std::chrono::steady_clock::now() < m_resumeUntil) {
             ++m_target;
             ++m_record.comeBacks;
             const wire::Endpoint target = m_context.target(m_target);
             wire::HttpCallOptions options;
-            options.idleTimeout = SilenceLimit;
+            options.idleTimeout = IdleTimeout;
             auto stream =
-                co_await m_context.client.open(target, comeBackRequest(), std::move(options));
+                co_await m_context.client.open(target, resumeRequest(), std::move(options));
             bool ended = false;
             if (stream)
-                ended = co_await takeRest(std::move(*stream));
+                ended = co_await readResumedAnswer(std::move(*stream));
             else
                 m_record.reason = stream.error().message;
             if (ended)
                 co_return;
-            co_await wire::sleepFor(RoundPause);
+            co_await wire::sleepFor(RetryPause);
         }
         m_record.violations.push_back(
             { ViolationKind::Lost, "request " + m_record.request + ": " + m_record.reason });
     }
 
-    [[nodiscard]] wire::HttpRequest comeBackRequest() const
+    [[nodiscard]] wire::HttpRequest resumeRequest() const
     {
         wire::HttpRequest request;
         request.target = "/v1/requests/" + m_record.request;
         request.fields.set("Authorization",
-                           callFields(m_context, m_call).find("Authorization").value_or(""));
+                           callHeaders(m_context, m_call).find("Authorization").value_or(""));
         request.fields.set("Accept", "text/event-stream");
-        if (m_checker.next() > 0)
-            request.fields.set("Last-Event-ID", std::to_string(m_checker.next() - 1));
+        if (m_checker.nextIndex() > 0)
+            request.fields.set("Last-Event-ID", std::to_string(m_checker.nextIndex() - 1));
         return request;
     }
 
-    /// False if the caller has to come back once more.
-    Task<bool> takeRest(StreamPtr stream)
+    /// Returns false if the caller has to resume the request once more.
+    Task<bool> readResumedAnswer(StreamPtr stream)
     {
         const int status = stream->head().status;
         if (status == 200) {
             const StreamEnd end = co_await readEvents(*stream);
-            if (end == StreamEnd::Whole)
-                completed();
+            if (end == StreamEnd::Complete)
+                markCompleted();
             co_return end != StreamEnd::Cut;
         }
-        const std::string next = stream->head().fields.find("Snipestall-Next-Offset").value_or("");
-        if (status == 409 && !next.empty()) {
+        const std::string nextOffset =
+            stream->head().fields.find("Snipestall-Next-Offset").value_or("");
+        if (status == 409 && !nextOffset.empty()) {
             std::int64_t offset = 0;
-            std::from_chars(next.data(), next.data() + next.size(), offset);
+            std::from_chars(nextOffset.data(), nextOffset.data() + nextOffset.size(), offset);
             m_checker.rewind(offset);
             ++m_record.rewinds;
             co_return false;
         }
         if (!stream->head().fields.find("Snipestall-Outcome")) {
-            m_record.reason = "come-back answered with status " + std::to_string(status);
+            m_record.reason =
+                "the request to resume was answered with status " + std::to_string(status);
             co_return false;
         }
-        co_await takeError(std::move(stream));
+        co_await readError(std::move(stream));
         co_return true;
     }
 
@@ -268,7 +270,7 @@
     AnswerChecker m_checker;
     CallRecord m_record;
     std::size_t m_target;
-    SteadyTime m_giveUp {};
+    SteadyTime m_resumeUntil {};
     std::optional<milliseconds> m_retryAfter;
 };
 
--- a/apps/snipestall_load/direct_call.cpp
+++ b/apps/snipestall_load/direct_call.cpp
@@ -1,5 +1,5 @@
 #include "answer_checker.hpp"
-#include "caller.hpp"
+#include "load_generator.hpp"
 #include "token_times.hpp"
 
 #include "snipestall/wire/event_stream_parser.hpp"
@@ -29,8 +29,8 @@
     return { "POST", "/v1/completions", {}, json::serialize(body) };
 }
 
-/// True at the end of the answer.
-bool takeEvent(const std::string &data, AnswerChecker &checker, TokenTimes &times,
+/// Returns true if the event ends the answer.
+bool readEvent(const std::string &data, AnswerChecker &checker, TokenTimes &times,
                CallRecord &record)
 {
     boost::system::error_code ec;
@@ -42,8 +42,8 @@
     const json::value *text = event.as_object().if_contains("text");
     if (text == nullptr || !text->is_string())
         return false;
-    checker.take(text->as_string());
-    times.token(std::chrono::steady_clock::now(), record);
+    checker.addText(text->as_string());
+    times.recordToken(std::chrono::steady_clock::now(), record);
     return false;
 }
 
@@ -57,7 +57,7 @@
         if (!bytes || !bytes->has_value())
             co_return ended;
         for (const auto &event : parser.feed(**bytes))
-            ended = takeEvent(event.data, checker, times, record) || ended;
+            ended = readEvent(event.data, checker, times, record) || ended;
     }
 }
 
--- a/apps/snipestall_load/latency_histogram.cpp
+++ b/apps/snipestall_load/latency_histogram.cpp
@@ -7,19 +7,19 @@
 
 namespace {
 
-constexpr double BucketWidth = 1.01;
+constexpr double BucketRatio = 1.01;
 
-std::size_t bucketOf(std::chrono::nanoseconds time)
+std::size_t bucketIndex(std::chrono::nanoseconds time)
 {
     const double micros = std::chrono::duration<double, std::micro>(time).count();
-    return static_cast<std::size_t>(std::log(std::max(micros, 1.0)) / std::log(BucketWidth));
+    return static_cast<std::size_t>(std::log(std::max(micros, 1.0)) / std::log(BucketRatio));
 }
 
 } // namespace
 
 void LatencyHistogram::add(std::chrono::nanoseconds time)
 {
-    const std::size_t bucket = bucketOf(time);
+    const std::size_t bucket = bucketIndex(time);
     if (bucket >= m_buckets.size())
         m_buckets.resize(bucket + 1);
     ++m_buckets[bucket];
@@ -46,7 +46,7 @@
         if (seen >= std::max<std::uint64_t>(rank, 1))
             break;
     }
-    const double micros = std::pow(BucketWidth, static_cast<double>(bucket) + 0.5);
+    const double micros = std::pow(BucketRatio, static_cast<double>(bucket) + 0.5);
     return std::chrono::microseconds(std::llround(micros));
 }
 
--- a/apps/snipestall_load/latency_histogram.hpp
+++ b/apps/snipestall_load/latency_histogram.hpp
@@ -6,14 +6,16 @@
 
 namespace snipestall::load {
 
-/// Counts times in buckets that are 1% wide, from a microsecond up: percentiles to 1%, whatever
-/// their number.
+/// Counts durations in logarithmic buckets, from 1 microsecond up, each 1% above the one before.
+/// Percentiles are therefore accurate to 1%, whatever the number of durations.
 class LatencyHistogram
 {
 public:
     void add(std::chrono::nanoseconds time);
+    /// Adds all durations of another histogram.
     void add(const LatencyHistogram &other);
-    /// The value that `share` of all are not above; 0 without any.
+    /// The duration that the fraction `share` (0 to 1) of all durations do not exceed; 0 if there
+    /// are none.
     [[nodiscard]] std::chrono::microseconds percentile(double share) const;
     [[nodiscard]] std::uint64_t count() const { return m_count; }
 
--- a/apps/snipestall_load/latency_histogram_test.cpp
+++ b/apps/snipestall_load/latency_histogram_test.cpp
@@ -18,7 +18,7 @@
     EXPECT_NEAR(static_cast<double>(histogram.percentile(1).count()), 1000e3, 10e3);
 }
 
-TEST(LatencyHistogramTest, EmptyAndTinyValuesAreFine)
+TEST(LatencyHistogramTest, EmptyHistogramAndZeroDurationAreAccepted)
 {
     LatencyHistogram histogram;
     EXPECT_EQ(histogram.percentile(0.5), microseconds(0));
--- a/apps/snipestall_load/ledger.cpp
+++ b/apps/snipestall_load/ledger.cpp
@@ -57,7 +57,7 @@
 {
     std::ifstream file(path);
     if (!file)
-        return fail(ErrorKind::NotFound, "can't read " + path);
+        return fail(ErrorKind::NotFound, "cannot read " + path);
     for (std::string line; std::getline(file, line);) {
         const bool run = line.find("\"count\"") != std::string::npos;
         const std::string name = run ? "runs" : "attempts";
--- a/apps/snipestall_load/ledger_check.cpp
+++ b/apps/snipestall_load/ledger_check.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Requests of which any part was run.
-std::set<std::string> requestsRun(const Ledger &ledger)
+/// IDs of the requests that were run, wholly or in part.
+std::set<std::string> executedRequests(const Ledger &ledger)
 {
     std::set<std::string> run;
     for (const auto &[id, attempt] : ledger.attempts()) {
@@ -26,18 +26,19 @@
 void checkRefusals(std::span<const CallRecord> records, const Ledger &ledger,
                    std::vector<Violation> &violations)
 {
-    const std::set<std::string> run = requestsRun(ledger);
+    const std::set<std::string> run = executedRequests(ledger);
     for (const auto &record : records) {
         for (const auto &refusal : record.refusals) {
             if (run.contains(refusal.request))
-                violations.push_back({ ViolationKind::FalseNotRun,
-                                       "request " + refusal.request + " was refused and run" });
+                violations.push_back(
+                    { ViolationKind::FalseNotRun,
+                      "request " + refusal.request + " was refused as not run, but was run" });
         }
     }
 }
 
-void checkCounts(std::span<const CallRecord> records, const Ledger &ledger,
-                 std::vector<Violation> &violations)
+void checkRunCounts(std::span<const CallRecord> records, const Ledger &ledger,
+                    std::vector<Violation> &violations)
 {
     std::map<std::string, std::int64_t> counts;
     for (const auto &run : ledger.runs())
@@ -62,10 +63,10 @@
     for (const auto &record : records) {
         if (record.receipt.empty() || record.idempotencyKey.empty())
             continue;
-        const auto [known, fresh] = receipts.try_emplace(record.idempotencyKey, record.receipt);
-        if (!fresh && known->second != record.receipt)
+        const auto [known, inserted] = receipts.try_emplace(record.idempotencyKey, record.receipt);
+        if (!inserted && known->second != record.receipt)
             violations.push_back({ ViolationKind::Doubled,
-                                   record.idempotencyKey + " got receipts " + known->second
+                                   record.idempotencyKey + " has two receipts: " + known->second
                                        + " and " + record.receipt });
     }
 }
@@ -103,7 +104,7 @@
 {
     LedgerFindings findings;
     checkRefusals(records, ledger, findings.violations);
-    checkCounts(records, ledger, findings.violations);
+    checkRunCounts(records, ledger, findings.violations);
     checkReceipts(records, findings.violations);
     countAttempts(ledger, findings);
     return findings;
--- a/apps/snipestall_load/ledger_check.hpp
+++ b/apps/snipestall_load/ledger_check.hpp
@@ -9,21 +9,25 @@
 
 namespace snipestall::load {
 
-/// What the comparison of callers' records and backend servers' ledger shows.
+/// Result of comparing the callers' records with the backend servers' ledger.
 struct LedgerFindings
 {
     std::vector<Violation> violations;
+    /// Attempts that were run.
     std::int64_t attempts = 0;
-    /// Attempts beyond the first of their request.
+    /// Attempts that were run, without the first of each request.
     std::int64_t repeatedAttempts = 0;
-    /// Tokens computed that an earlier attempt of the same request had computed: prompt tokens
-    /// prefilled again and answer tokens produced again.
+    /// Tokens computed although an earlier attempt of the same request had computed them: prompt
+    /// tokens prefilled again and answer tokens produced again.
     std::int64_t recomputedTokens = 0;
-    /// Longest time after a reclaim notice at which an engine still got an attempt.
+    /// Longest time in milliseconds after a reclaim notice at which an engine still received an
+    /// attempt.
     std::int64_t latestAfterNoticeMs = 0;
 };
 
-/// Every not-run truly not run; each non-idempotent call run at most once; of one key one receipt.
+/// Checks that every request refused as not run was not run, that each non-idempotent call of a
+/// plain service ran at most once, and that all answers to one idempotency key have the same
+/// receipt.
 LedgerFindings checkLedger(std::span<const CallRecord> records, const Ledger &ledger);
 
 } // namespace snipestall::load
--- a/apps/snipestall_load/ledger_check_test.cpp
+++ b/apps/snipestall_load/ledger_check_test.cpp
@@ -21,8 +21,9 @@
     return ledger;
 }
 
-// A dispatch races its own deadline: the engine gets the prompt while the caller is told that
-// nothing was run. The engine's own record gives it away; an attempt that it refused does not.
+// A request is dispatched just as its deadline expires: the engine receives the prompt, but the
+// caller is answered that nothing was run. The record of the engine shows that the request was run,
+// unless the engine refused the attempt.
 TEST(LedgerCheckTest, ARefusedRequestThatRanIsFound)
 {
     const auto ledger = ledgerOf(R"({"attempts":[
@@ -34,8 +35,8 @@
     EXPECT_EQ(findings.violations.front().kind, ViolationKind::FalseNotRun);
 }
 
-// A top-up is sent twice with one key and lands at two services: each counts one run, and only
-// the sum shows that the family paid twice.
+// A top-up is sent twice with one key and runs at two services. Each service counts one run; only
+// the sum shows that the top-up took effect twice.
 TEST(LedgerCheckTest, RunsOfOneKeyAddUpOverServices)
 {
     Ledger ledger = ledgerOf(R"({"runs":[{"key":"k","request":"r1","count":1}]})");
--- a/apps/snipestall_load/caller.cpp
+++ b/apps/snipestall_load/load_generator.cpp
@@ -1,4 +1,4 @@
-#include "caller.hpp"
+#include "load_generator.hpp"
 
 #include "snipestall/wire/signal.hpp"
 
@@ -16,10 +16,10 @@
 
 namespace {
 
-constexpr milliseconds EndPoll { 20 };
+constexpr milliseconds OpenCallsPollInterval { 20 };
 
-/// Statuses that blame the call itself and not the moment.
-constexpr std::array CallersFaults { 400, 401, 403, 404, 405, 409, 413 };
+/// Statuses that mean that the call itself is invalid, so that it would fail at any other time too.
+constexpr std::array CallerErrorStatuses { 400, 401, 403, 404, 405, 409, 413 };
 
 std::optional<milliseconds> retryAfter(const wire::HttpResponse &response)
 {
@@ -31,7 +31,7 @@
     return std::chrono::seconds(seconds);
 }
 
-std::string messageOf(const std::string &body)
+std::string errorMessage(const std::string &body)
 {
     boost::system::error_code ec;
     const json::value value = json::parse(body, ec);
@@ -44,10 +44,10 @@
     return message.is_string() ? std::string(message.as_string()) : std::string();
 }
 
-void readNotRun(int status, CallRecord &record, bool withTime)
+void recordNotRun(int status, CallRecord &record, bool withTime)
 {
-    for (const int fault : CallersFaults) {
-        if (status == fault) {
+    for (const int invalidStatus : CallerErrorStatuses) {
+        if (status == invalidStatus) {
             record.outcome = CallOutcome::Rejected;
             return;
         }
@@ -58,7 +58,7 @@
 
 } // namespace
 
-wire::HttpFields callFields(const CallContext &context, const PlannedCall &call)
+wire::HttpFields callHeaders(const CallContext &context, const PlannedCall &call)
 {
     const WorkClass &work = context.mix.classes[call.workClass];
     wire::HttpFields fields;
@@ -86,14 +86,14 @@
     return record;
 }
 
-std::optional<milliseconds> readRefusal(const wire::HttpResponse &response, CallRecord &record)
+std::optional<milliseconds> readErrorAnswer(const wire::HttpResponse &response, CallRecord &record)
 {
     const auto time = retryAfter(response);
     const std::string outcome = response.fields.find("Snipestall-Outcome").value_or("");
     record.request = response.fields.find("Snipestall-Request-Id").value_or("");
-    record.reason = messageOf(response.body);
+    record.reason = errorMessage(response.body);
     if (outcome == "not-run") {
-        readNotRun(response.status, record, time.has_value());
+        recordNotRun(response.status, record, time.has_value());
     } else if (outcome == "unknown") {
         record.outcome = CallOutcome::Unknown;
     } else if (outcome == "failed") {
@@ -109,13 +109,14 @@
     return time;
 }
 
-Caller::Caller(boost::asio::io_context &io, CallContext context, std::size_t maxOpen)
+LoadGenerator::LoadGenerator(boost::asio::io_context &io, CallContext context,
+                             std::size_t maxOpenCalls)
     : m_io(io)
     , m_context(std::move(context))
-    , m_maxOpen(maxOpen)
+    , m_maxOpenCalls(maxOpenCalls)
 { }
 
-wire::Task<void> Caller::send(const std::vector<PlannedCall> &plan, bool direct)
+wire::Task<void> LoadGenerator::send(const std::vector<PlannedCall> &plan, bool direct)
 {
     const SteadyTime start = std::chrono::steady_clock::now();
     for (const auto &call : plan) {
@@ -127,23 +128,23 @@
         if (wait.count() > 0)
             co_await wire::sleepFor(wait);
         m_context.results.startLag.add(std::chrono::steady_clock::now() - due);
-        if (m_open >= m_maxOpen) {
+        if (m_openCalls >= m_maxOpenCalls) {
             ++m_context.results.notSent;
             continue;
         }
-        const CallRunner through = service ? runServiceCall : runChatCall;
-        const CallRunner runner = direct ? runDirectCall : through;
-        boost::asio::co_spawn(m_io, runOne(runner, call, due), boost::asio::detached);
+        const CallRunner snipestallRunner = service ? runServiceCall : runChatCall;
+        const CallRunner runner = direct ? runDirectCall : snipestallRunner;
+        boost::asio::co_spawn(m_io, runCall(runner, call, due), boost::asio::detached);
         if (call.repeated && service && !direct)
-            boost::asio::co_spawn(m_io, repeatOne(call, due), boost::asio::detached);
+            boost::asio::co_spawn(m_io, runRepeat(call, due), boost::asio::detached);
     }
-    while (m_open > 0)
-        co_await wire::sleepFor(EndPoll);
+    while (m_openCalls > 0)
+        co_await wire::sleepFor(OpenCallsPollInterval);
 }
 
-wire::Task<void> Caller::runOne(CallRunner runner, const PlannedCall &call, SteadyTime due)
+wire::Task<void> LoadGenerator::runCall(CallRunner runner, const PlannedCall &call, SteadyTime due)
 {
-    ++m_open;
+    ++m_openCalls;
     CallRecord record = co_await runner(m_context, call, due);
     record.total = std::chrono::steady_clock::now() - due;
     ClassTimes &times = m_context.results.classes[record.workClass];
@@ -152,19 +153,19 @@
     if (record.tokens > 0)
         times.firstToken.add(record.firstToken);
     m_context.results.records.push_back(std::move(record));
-    --m_open;
+    --m_openCalls;
 }
 
-wire::Task<void> Caller::repeatOne(const PlannedCall &call, SteadyTime due)
+wire::Task<void> LoadGenerator::runRepeat(const PlannedCall &call, SteadyTime due)
 {
-    ++m_open;
+    ++m_openCalls;
     const auto after = m_context.mix.classes[call.workClass].repeatAfter;
     if (after.count() > 0)
         co_await wire::sleepFor(after);
-    PlannedCall elsewhere = call;
-    ++elsewhere.target;
-    co_await runOne(runServiceCall, elsewhere, due + after);
-    --m_open;
+    PlannedCall repeat = call;
+    ++repeat.target;
+    co_await runCall(runServiceCall, repeat, due + after);
+    --m_openCalls;
 }
 
 } // namespace snipestall::load
--- a/apps/snipestall_load/main.cpp
+++ b/apps/snipestall_load/main.cpp
@@ -1,6 +1,6 @@
-#include "caller.hpp"
 #include "ledger.hpp"
 #include "ledger_check.hpp"
+#include "load_generator.hpp"
 #include "mix.hpp"
 #include "plan.hpp"
 #include "report.hpp"
@@ -16,38 +16,54 @@
 #include <iostream>
 #include <sstream>
 
-DEFINE_string(targets, "", "callers' addresses of entry instances, IP:PORT,...");
-DEFINE_string(direct, "", "engines to send the same chat calls to first, IP:PORT,...");
-DEFINE_string(key, "", "customer's key, sent as Authorization: Bearer");
-DEFINE_string(mix, "", "YAML file that describes the calls; the flags below change it");
+DEFINE_string(targets, "",
+              "entry instances to send calls to, by their addresses for callers, IP:PORT,...");
+DEFINE_string(direct, "",
+              "engines that receive the same chat calls first, without snipestall, IP:PORT,...");
+DEFINE_string(key, "", "key of the customer, sent as Authorization: Bearer");
+DEFINE_string(
+    mix, "",
+    "YAML file that describes the calls; --rate, --duration_ms, --seed, --model and --service "
+    "change it");
 DEFINE_double(rate, 0, "calls per second");
-DEFINE_int64(duration_ms, 0, "how long calls are sent");
-DEFINE_int64(seed, -1, "seed of the plan");
-DEFINE_string(model, "", "without --mix: model of the chat calls");
-DEFINE_string(service, "", "without --mix: plain service of the keyed, non-idempotent calls");
-DEFINE_string(run, "", "word that makes keys and prompts of this run its own; empty: the time");
-DEFINE_int64(patience_ms, 30000, "how long callers come back for accepted requests");
-DEFINE_uint64(max_open, 8000, "calls open at once; more are counted as not sent");
-DEFINE_string(engines, "", "engines whose record of attempts is compared, IP:PORT,...");
-DEFINE_string(services, "", "services whose record of runs is compared, IP:PORT,...");
-DEFINE_string(ledger_files, "", "files of attempts and runs, in place of or beside the above");
-DEFINE_string(output, "table", "table or json");
+DEFINE_int64(duration_ms, 0, "time for which calls are sent, in milliseconds");
+DEFINE_int64(seed, -1, "seed of the plan, at least 0; calls of the same seed and mix are the same");
+DEFINE_string(model, "",
+              "model of a class of chat calls that is added to the mix; can replace --mix");
+DEFINE_string(
+    service, "",
+    "plain service of a class of keyed, non-idempotent calls that is added to the mix; can "
+    "replace --mix");
+DEFINE_string(run, "",
+              "name that keeps the keys and prompts of this run distinct from those of other runs; "
+              "empty: the time");
+DEFINE_int64(
+    patience_ms, 30000,
+    "time in milliseconds after the deadline for which callers try to resume accepted requests");
+DEFINE_uint64(max_open, 8000,
+              "greatest number of calls open at once; further ones are counted as not sent");
+DEFINE_string(engines, "", "engines whose record of attempts is checked, IP:PORT,...");
+DEFINE_string(services, "", "services whose record of runs is checked, IP:PORT,...");
+DEFINE_string(
+    ledger_files, "",
+    "files of recorded attempts and runs, instead of or besides --engines and --services");
+DEFINE_string(output, "table", "format of the report: table or json");
 
 using namespace snipestall;
 using namespace snipestall::load;
 
 namespace {
 
-constexpr int StatusViolations = 1;
-constexpr int StatusBadUse = 2;
+constexpr int ExitViolations = 1;
+constexpr int ExitError = 2;
 
-[[noreturn]] void badUse(const std::string &message)
+[[noreturn]] void exitWithError(const std::string &message)
 {
     std::cerr << message << '\n';
-    std::exit(StatusBadUse);
+    std::exit(ExitError);
 }
 
-std::vector<std::string> split(const std::string &list)
+std::vector<std::string> splitList(const std::string &list)
 {
     std::vector<std::string> parts;
     std::istringstream text(list);
@@ -56,13 +72,13 @@
     return parts;
 }
 
-std::vector<wire::Endpoint> endpoints(const std::string &list)
+std::vector<wire::Endpoint> parseEndpoints(const std::string &list)
 {
     std::vector<wire::Endpoint> all;
-    for (const auto &part : split(list)) {
+    for (const auto &part : splitList(list)) {
         auto endpoint = wire::Endpoint::parse(part);
         if (!endpoint)
-            badUse(endpoint.error().message);
+            exitWithError(endpoint.error().message);
         all.push_back(std::move(*endpoint));
     }
     return all;
@@ -74,7 +90,7 @@
     if (!FLAGS_mix.empty()) {
         auto loaded = Mix::load(FLAGS_mix);
         if (!loaded)
-            badUse(loaded.error().message);
+            exitWithError(loaded.error().message);
         mix = std::move(*loaded);
     }
     if (!FLAGS_model.empty()) {
@@ -98,19 +114,19 @@
     if (FLAGS_seed >= 0)
         mix.seed = static_cast<std::uint64_t>(FLAGS_seed);
     if (mix.classes.empty())
-        badUse("nothing to send; give --mix, --model or --service");
+        exitWithError("there are no calls to send; give --mix, --model or --service");
     return mix;
 }
 
-std::string runWord()
+std::string runName()
 {
     if (!FLAGS_run.empty())
         return FLAGS_run;
     return std::to_string(std::chrono::system_clock::now().time_since_epoch().count());
 }
 
-/// Runs one coroutine to its end on the loop.
-void runToEnd(boost::asio::io_context &io, wire::Task<void> task)
+/// Runs the event loop until the coroutine has ended.
+void runUntilDone(boost::asio::io_context &io, wire::Task<void> task)
 {
     bool done = false;
     boost::asio::co_spawn(io, std::move(task), [&done](const std::exception_ptr &error) {
@@ -130,11 +146,11 @@
     results.classes.resize(mix.classes.size());
     wire::HttpClient client(io);
     CallContext context { client,    mix,
-                          results,   endpoints(direct ? FLAGS_direct : FLAGS_targets),
+                          results,   parseEndpoints(direct ? FLAGS_direct : FLAGS_targets),
                           FLAGS_key, std::chrono::milliseconds(FLAGS_patience_ms) };
     const auto plan = planCalls(mix, context.targets.size(), run + (direct ? "d" : "s"));
-    Caller caller(io, std::move(context), FLAGS_max_open);
-    runToEnd(io, caller.send(plan, direct));
+    LoadGenerator generator(io, std::move(context), FLAGS_max_open);
+    runUntilDone(io, generator.send(plan, direct));
     return results;
 }
 
@@ -144,10 +160,11 @@
     wire::HttpRequest request { "GET", std::move(path), {}, {} };
     const auto response = co_await client.fetch(endpoint, std::move(request));
     if (!response)
-        badUse("no ledger: " + response.error().message);
+        exitWithError("cannot fetch the ledger: " + response.error().message);
     const auto added = ledger.addBody(response->body);
     if (!added)
-        badUse("no ledger from " + endpoint.toString() + ": " + added.error().message);
+        exitWithError("cannot parse the ledger of " + endpoint.toString() + ": "
+                      + added.error().message);
 }
 
 std::optional<Ledger> readLedger(boost::asio::io_context &io)
@@ -156,14 +173,14 @@
         return std::nullopt;
     Ledger ledger;
     wire::HttpClient client(io);
-    for (const auto &engine : endpoints(FLAGS_engines))
-        runToEnd(io, fetchLedger(client, engine, "/control/attempts", ledger));
-    for (const auto &service : endpoints(FLAGS_services))
-        runToEnd(io, fetchLedger(client, service, "/control/runs", ledger));
-    for (const auto &file : split(FLAGS_ledger_files)) {
+    for (const auto &engine : parseEndpoints(FLAGS_engines))
+        runUntilDone(io, fetchLedger(client, engine, "/control/attempts", ledger));
+    for (const auto &service : parseEndpoints(FLAGS_services))
+        runUntilDone(io, fetchLedger(client, service, "/control/runs", ledger));
+    for (const auto &file : splitList(FLAGS_ledger_files)) {
         const auto added = ledger.addFile(file);
         if (!added)
-            badUse(added.error().message);
+            exitWithError(added.error().message);
     }
     return ledger;
 }
@@ -175,11 +192,11 @@
     gflags::SetUsageMessage("open-loop load generator that checks every answer");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     if (argc > 1)
-        badUse(std::string("unexpected argument '") + argv[1] + "'; see --help");
+        exitWithError(std::string("unexpected argument '") + argv[1] + "'; see --help");
     if (FLAGS_targets.empty() && FLAGS_direct.empty())
-        badUse("nowhere to send; give --targets or --direct");
+        exitWithError("there are no targets; give --targets or --direct");
     const Mix mix = mixFromFlags();
-    const std::string run = runWord();
+    const std::string run = runName();
     boost::asio::io_context io;
     std::vector<Results> results;
     if (!FLAGS_direct.empty())
@@ -194,5 +211,5 @@
         report.ledger = checkLedger(results.back().records, *ledger);
     const bool asJson = FLAGS_output == "json";
     std::cout << (asJson ? toJson(report, results, mix) : toTable(report, results, mix));
-    return report.clean() ? 0 : StatusViolations;
+    return report.clean() ? 0 : ExitViolations;
 }
--- a/apps/snipestall_load/mix.cpp
+++ b/apps/snipestall_load/mix.cpp
@@ -14,7 +14,7 @@
 
 using std::chrono::milliseconds;
 
-/// One settable name of a YAML map.
+/// A key that a YAML map may hold, and the function that reads its value.
 template<typename Target>
 struct Field
 {
@@ -22,7 +22,7 @@
     std::function<void(const YAML::Node &, Target &)> read;
 };
 
-/// A value of any type into a member.
+/// Reads a value of any type into a member.
 template<typename Target, typename Value>
 Field<Target> field(std::string_view name, Value Target::*member)
 {
@@ -31,6 +31,7 @@
             } };
 }
 
+/// Reads a number of milliseconds into a member.
 template<typename Target>
 Field<Target> field(std::string_view name, milliseconds Target::*member)
 {
@@ -39,9 +40,9 @@
             } };
 }
 
-/// A number, or [least, most].
+/// Reads a number, or a pair [least, most], into a member.
 template<typename Target>
-Field<Target> field(std::string_view name, Span Target::*member)
+Field<Target> field(std::string_view name, Range Target::*member)
 {
     return { name, [member](const YAML::Node &node, Target &target) {
                 const bool pair = node.IsSequence();
@@ -51,7 +52,7 @@
             } };
 }
 
-[[noreturn]] void fault(const std::string &path, const std::string &what)
+[[noreturn]] void throwInvalid(const std::string &path, const std::string &what)
 {
     throw std::invalid_argument(path + ": " + what);
 }
@@ -61,7 +62,7 @@
              const std::string &path, Target &target)
 {
     if (!node.IsMap())
-        fault(path, "must be a map");
+        throwInvalid(path, "must be a map");
     for (const auto &entry : node) {
         const auto name = entry.first.as<std::string>();
         const Field<Target> *known = nullptr;
@@ -71,11 +72,11 @@
             allowed += " " + std::string(candidate.name);
         }
         if (known == nullptr)
-            fault(path + "." + name, "unknown; allowed are:" + allowed);
+            throwInvalid(path + "." + name, "is not a known key; allowed keys are:" + allowed);
         try {
             known->read(entry.second, target);
         } catch (const YAML::Exception &) {
-            fault(path + "." + name, "has a value of the wrong type");
+            throwInvalid(path + "." + name, "has a value of the wrong type");
         }
     }
 }
@@ -150,10 +151,11 @@
         readMap(YAML::Load(yaml), mixFields(), "mix", mix);
         for (const auto &work : mix.classes) {
             if (work.model.empty() == work.service.empty())
-                fault("classes." + work.name, "name either a model or a service");
+                throwInvalid("classes." + work.name, "must name either a model or a service");
         }
     } catch (const YAML::Exception &error) {
-        return fail(ErrorKind::InvalidArgument, std::string("no YAML: ") + error.what());
+        return fail(ErrorKind::InvalidArgument,
+                    std::string("the mix is not valid YAML: ") + error.what());
     } catch (const std::invalid_argument &error) {
         return fail(ErrorKind::InvalidArgument, error.what());
     }
@@ -164,7 +166,7 @@
 {
     std::ifstream stream(file);
     if (!stream)
-        return fail(ErrorKind::NotFound, "can't read " + file + "; check --mix");
+        return fail(ErrorKind::NotFound, "cannot read " + file + "; check --mix");
     std::ostringstream text;
     text << stream.rdbuf();
     return parse(text.str());
--- a/apps/snipestall_load/plan.cpp
+++ b/apps/snipestall_load/plan.cpp
@@ -10,13 +10,13 @@
 
 constexpr std::string_view Words = "the ferry left the harbour with airtime on its account and ";
 
-std::int64_t draw(Random &random, Span span)
+std::int64_t draw(Random &random, Range range)
 {
-    const auto width = static_cast<std::uint64_t>(span.most - span.least + 1);
-    return span.least + static_cast<std::int64_t>(random.below(width));
+    const auto width = static_cast<std::uint64_t>(range.most - range.least + 1);
+    return range.least + static_cast<std::int64_t>(random.below(width));
 }
 
-std::string filler(std::string text, std::size_t length)
+std::string fillerText(std::string text, std::size_t length)
 {
     while (text.size() < length)
         text += Words;
@@ -36,10 +36,10 @@
 
 std::size_t drawClass(Random &random, const Mix &mix)
 {
-    double all = 0;
+    double totalShare = 0;
     for (const auto &work : mix.classes)
-        all += work.share;
-    double left = random.uniform() * all;
+        totalShare += work.share;
+    double left = random.uniform() * totalShare;
     for (std::size_t i = 0; i < mix.classes.size(); ++i) {
         left -= mix.classes[i].share;
         if (left < 0)
@@ -52,12 +52,13 @@
 {
     std::string prefix;
     if (work.prefixes > 0) {
-        const auto which = random.below(static_cast<std::uint64_t>(work.prefixes));
+        const auto prefixIndex = random.below(static_cast<std::uint64_t>(work.prefixes));
         const auto length = static_cast<std::size_t>(work.prefixCharacters);
-        prefix = filler("prefix " + std::to_string(which) + " of " + work.name + ": ", length);
+        prefix =
+            fillerText("prefix " + std::to_string(prefixIndex) + " of " + work.name + ": ", length);
     }
     const auto length = static_cast<std::size_t>(draw(random, work.promptCharacters));
-    return prefix + filler(unique + " ", std::max(length, unique.size()));
+    return prefix + fillerText(unique + " ", std::max(length, unique.size()));
 }
 
 PlannedCall drawCall(Random &random, const Mix &mix, std::size_t targets, const std::string &unique)
--- a/apps/snipestall_load/plan_test.cpp
+++ b/apps/snipestall_load/plan_test.cpp
@@ -37,7 +37,7 @@
     EXPECT_NEAR(static_cast<double>(ledger) / static_cast<double>(calls.size()), 0.25, 0.05);
 }
 
-TEST(PlanTest, AFaultyMixNamesThePath)
+TEST(PlanTest, ErrorOfAnInvalidMixNamesThePath)
 {
     const auto unknown = Mix::parse("classes: [{model: m, speed: 3}]");
     ASSERT_FALSE(unknown.has_value());
--- a/apps/snipestall_load/report_table.cpp
+++ b/apps/snipestall_load/report_table.cpp
@@ -32,7 +32,7 @@
         if (phase.outcomes.at(i) > 0)
             out << toString(static_cast<CallOutcome>(i)) << ' ' << phase.outcomes.at(i) << "  ";
     }
-    out << "\n  refusals with a time to come back " << phase.refusalsWithTime << ", without "
+    out << "\n  refusals with Retry-After " << phase.refusalsWithTime << ", without "
         << phase.refusalsWithoutTime << "\n  come-backs " << phase.comeBacks << ", sent again "
         << phase.resends << ", rewinds " << phase.rewinds << ", not sent " << phase.notSent << '\n';
     for (const auto &[reason, count] : phase.reasons)
--- a/apps/snipestall_load/results.hpp
+++ b/apps/snipestall_load/results.hpp
@@ -8,22 +8,26 @@
 
 namespace snipestall::load {
 
-/// Times of one class of work.
+/// Latencies of one class of work. The time to the first token and the total time count from the
+/// time at which a call was due.
 struct ClassTimes
 {
     LatencyHistogram firstToken;
     LatencyHistogram betweenTokens;
+    /// Completed calls only.
     LatencyHistogram total;
 };
 
-/// Everything that a phase of a run has brought.
+/// Results of one phase of a run.
 struct Results
 {
+    /// "direct" or "snipestall".
     std::string phase;
     std::vector<CallRecord> records;
-    /// By the mix's classes.
+    /// One element for each of the mix's classes, in their order.
     std::vector<ClassTimes> classes;
-    /// How late calls left this program: what it measures is its own fault beyond that.
+    /// Delay between the time at which a call was due and the time at which this program sent it.
+    /// The measured latencies include it, although it is caused by this program.
     LatencyHistogram startLag;
     /// Calls that were not sent because too many were open.
     std::uint64_t notSent = 0;
--- a/apps/snipestall_load/service_call.cpp
+++ b/apps/snipestall_load/service_call.cpp
@@ -1,4 +1,4 @@
-#include "caller.hpp"
+#include "load_generator.hpp"
 
 #include "snipestall/wire/signal.hpp"
 
@@ -16,9 +16,9 @@
 namespace {
 
 constexpr int MaxTries = 5;
-constexpr std::size_t RoundsOfTargets = 3;
-constexpr milliseconds RoundPause { 100 };
-constexpr milliseconds SilenceLimit { 30000 };
+constexpr std::size_t MaxTargetRounds = 3;
+constexpr milliseconds RetryPause { 100 };
+constexpr milliseconds IdleTimeout { 30000 };
 
 /// One call of a plain service through snipestall.
 class ServiceCall
@@ -51,41 +51,41 @@
         json::object body;
         body["account"] = "vessel-" + std::to_string(m_call.number);
         body["amount"] = m_call.maxTokens;
-        return { "POST", "/services/" + work.service + work.path, callFields(m_context, m_call),
+        return { "POST", "/services/" + work.service + work.path, callHeaders(m_context, m_call),
                  json::serialize(body) };
     }
 
     Task<void> submit()
     {
-        const std::size_t tries = m_context.targets.size() * RoundsOfTargets;
+        const std::size_t tries = m_context.targets.size() * MaxTargetRounds;
         m_record.outcome = CallOutcome::Unreachable;
         for (std::size_t i = 0; i < tries; ++i) {
             const wire::Endpoint target = m_context.target(m_target);
             wire::HttpCallOptions options;
-            options.idleTimeout = SilenceLimit;
+            options.idleTimeout = IdleTimeout;
             options.freshConnection = true;
             const auto response =
                 co_await m_context.client.fetch(target, request(), std::move(options));
             if (response) {
-                takeResponse(*response);
+                readResponse(*response);
                 co_return;
             }
             ++m_target;
             m_record.reason = response.error().message;
-            const bool left = response.error().kind != ErrorKind::Unavailable;
-            const bool mayRepeat = m_call.idempotent || !m_call.idempotencyKey.empty();
-            m_record.outcome = left ? CallOutcome::NoAnswer : m_record.outcome;
-            if (left && !mayRepeat)
+            const bool maybeSent = response.error().kind != ErrorKind::Unavailable;
+            const bool mayResend = m_call.idempotent || !m_call.idempotencyKey.empty();
+            m_record.outcome = maybeSent ? CallOutcome::NoAnswer : m_record.outcome;
+            if (maybeSent && !mayResend)
                 co_return;
-            m_record.resends += left ? 1 : 0;
-            co_await wire::sleepFor(RoundPause);
+            m_record.resends += maybeSent ? 1 : 0;
+            co_await wire::sleepFor(RetryPause);
         }
     }
 
-    void takeResponse(const HttpResponse &response)
+    void readResponse(const HttpResponse &response)
     {
         if (response.status != 200) {
-            m_retryAfter = readRefusal(response, m_record);
+            m_retryAfter = readErrorAnswer(response, m_record);
             return;
         }
         m_record.request = response.fields.find("Snipestall-Request-Id").value_or("");
@@ -94,15 +94,18 @@
         const json::value body = json::parse(response.body, ec);
         const json::value *receipt = ec ? nullptr : body.find_pointer("/receipt", ec);
         if (receipt == nullptr || !receipt->is_string()) {
-            report(ViolationKind::Cut, "no receipt in '" + response.body.substr(0, 100) + "'");
+            addViolation(ViolationKind::Cut,
+                         "the answer has no receipt: '" + response.body.substr(0, 100) + "'");
             return;
         }
         m_record.receipt = std::string(receipt->as_string());
         checkReceipt();
         const json::value *runs = body.find_pointer("/runs", ec);
-        const bool many = runs != nullptr && runs->is_number() && runs->to_number<int>() > 1;
-        if (many && !m_call.idempotent)
-            report(ViolationKind::Doubled, "the service counts several runs: " + m_record.receipt);
+        const bool ranRepeatedly =
+            runs != nullptr && runs->is_number() && runs->to_number<int>() > 1;
+        if (ranRepeatedly && !m_call.idempotent)
+            addViolation(ViolationKind::Doubled,
+                         "the service reports more than one run: " + m_record.receipt);
     }
 
     void checkReceipt()
@@ -110,10 +113,10 @@
         const std::string &name =
             m_call.idempotencyKey.empty() ? m_record.request : m_call.idempotencyKey;
         if (m_record.receipt != "receipt-" + name)
-            report(ViolationKind::Mixed, "receipt " + m_record.receipt + " for " + name);
+            addViolation(ViolationKind::Mixed, "receipt " + m_record.receipt + " for " + name);
     }
 
-    void report(ViolationKind kind, std::string detail)
+    void addViolation(ViolationKind kind, std::string detail)
     {
         m_record.violations.push_back({ kind, std::move(detail) });
     }
--- a/apps/snipestall_load/token_times.hpp
+++ b/apps/snipestall_load/token_times.hpp
@@ -7,16 +7,19 @@
 
 namespace snipestall::load {
 
-/// Times the tokens of one answer.
+/// Measures when the tokens of one answer arrive.
 class TokenTimes
 {
 public:
+    /// `due` is the time at which the plan sent the call.
     TokenTimes(SteadyTime due, LatencyHistogram &betweenTokens)
         : m_due(due)
         , m_betweenTokens(betweenTokens)
     { }
 
-    void token(SteadyTime now, CallRecord &record)
+    /// Stores the time to the first token in the record, and the gaps between later tokens in the
+    /// histogram.
+    void recordToken(SteadyTime now, CallRecord &record)
     {
         if (record.tokens == 0)
             record.firstToken = now - m_due;
--- a/apps/snipestall_load/violation.hpp
+++ b/apps/snipestall_load/violation.hpp
@@ -5,28 +5,30 @@
 
 namespace snipestall::load {
 
-/// Promises that a run can find broken.
+/// Kinds of broken guarantees that a run can find.
 enum class ViolationKind {
-    /// An accepted request whose whole answer could not be had.
+    /// The complete answer to an accepted request could not be obtained.
     Lost,
-    /// A token, answer or effect that came twice.
+    /// A token, answer or effect occurred more than once.
     Doubled,
-    /// Somebody else's answer.
+    /// A caller received the answer, or a part of the answer, to another request.
     Mixed,
-    /// An answer that was called whole but had gaps or an early end.
+    /// An answer was marked as complete, but tokens were missing.
     Cut,
-    /// Refused as not run, but run.
+    /// The request was refused as not run, but was run.
     FalseNotRun,
-    /// An error without a word on whether it was run.
+    /// An error answer did not say whether the request was run.
     Unlabelled,
 };
 
+/// One broken guarantee that a run has found.
 struct Violation
 {
     ViolationKind kind = ViolationKind::Lost;
     std::string detail;
 };
 
+/// The name of a kind in the report.
 constexpr std::string_view toString(ViolationKind kind)
 {
     constexpr std::string_view Names[] { "lost", "doubled",       "mixed",
