--- a/include/snipestall/admin/instance_status.hpp
+++ b/include/snipestall/admin/instance_status.hpp
@@ -7,14 +7,15 @@
 
 namespace snipestall::admin {
 
-/// A peer as this instance sees it.
+/// State of a peer as this instance last observed it.
 struct PeerStatus
 {
     std::string name;
     std::string dataCentre;
-    /// "up", "suspected" or "leaving".
+    /// "known" (has never reported), "up", "suspected" or "leaving".
     std::string state;
     std::uint64_t settingsVersion = 0;
+    /// Time since the peer last reported; 0 if it has never reported.
     std::chrono::milliseconds silentFor { 0 };
 };
 
@@ -27,30 +28,33 @@
     /// "up", "leaving", "ejected" or "lost".
     std::string state;
     std::uint32_t slots = 0;
+    /// Slots in use.
     std::uint32_t running = 0;
 };
 
-/// Accepted requests of one service on this instance.
+/// The accepted requests of one service on this instance.
 struct QueueStatus
 {
     std::string service;
     std::uint32_t waiting = 0;
     std::uint32_t running = 0;
+    /// Time for which the oldest of the waiting requests has waited.
     std::chrono::milliseconds oldestWait { 0 };
 };
 
-/// What one instance can tell about itself at one moment.
+/// Snapshot of the state of one instance.
 struct InstanceStatus
 {
     std::string instance;
     std::string dataCentre;
     std::uint64_t incarnation = 0;
+    /// Time since the process started.
     std::chrono::milliseconds upFor { 0 };
     bool draining = false;
     bool platformReachable = true;
-    /// This instance gives the data centre's orders now.
+    /// Whether this instance is its data centre's steward, which orders starts and releases.
     bool isSteward = false;
-    /// In force here; 0 while there is none.
+    /// Version of the settings in force on this instance; 0 while there are none.
     std::uint64_t settingsVersion = 0;
     std::vector<PeerStatus> peers;
     std::vector<BackendServerStatus> backendServers;
--- a/include/snipestall/admin/messages.hpp
+++ b/include/snipestall/admin/messages.hpp
@@ -12,35 +12,38 @@
 #include <string_view>
 #include <vector>
 
-// The JSON bodies of the operators' HTTP API, as typed messages. Each decode fails with
-// InvalidArgument, naming what is missing or of the wrong type.
+// Typed messages for the JSON bodies of the operators' HTTP API. Each decode function fails with
+// InvalidArgument and names the member that is missing or has the wrong type.
 
 namespace snipestall::admin {
 
-/// Answer to a read of the settings.
+/// Answer to `GET /settings` and `GET /settings/versions/N`.
 struct SettingsMessage
 {
     peer::SettingsDocument document;
-    /// False when the platform does not answer and this is what the instance has in force.
+    /// False if the platform did not answer, so that `document` holds the settings in force on the
+    /// answering instance.
     bool fromTable = true;
 };
 
-/// Answer to an accepted change.
+/// Answer to an accepted change: the version that it created.
 struct AcceptedMessage
 {
     std::uint64_t version = 0;
     std::string hash;
 };
 
-/// Answer to anything refused: the one envelope, with what is needed to go on.
+/// Answer to every refused request: the error and the details that its sender needs to correct it.
 struct RefusalMessage
 {
     Error error;
+    /// All faults of the settings that the change would have produced.
     std::vector<settings::Fault> faults;
-    /// What others changed on the same paths.
+    /// What other operators have changed on the same paths since the base version.
     std::vector<settings::Difference> theirs;
-    /// Who changed them, when and why, newest first.
+    /// Audit records of those changes, newest first.
     std::vector<peer::AuditRecord> changes;
+    /// Newest version of the settings; 0 if the answer does not give it.
     std::uint64_t currentVersion = 0;
 };
 
@@ -48,11 +51,12 @@
 struct AuditMessage
 {
     std::vector<peer::AuditRecord> records;
-    /// Older rows than these were not looked at; ask again with `before`. 0: all were.
+    /// Records that led to a version below this one were not searched; to continue, repeat the
+    /// query with this value as `before`. 0: all were searched.
     std::uint64_t before = 0;
 };
 
-/// One value in force, already as text.
+/// One value in force, formatted as text, and the level of the settings that sets it.
 struct EffectiveValue
 {
     std::string path;
@@ -60,7 +64,7 @@
     std::string from;
 };
 
-/// Answer to a read of the values in force.
+/// Answer to `GET /settings/effective`.
 struct EffectiveMessage
 {
     std::uint64_t version = 0;
@@ -68,7 +72,7 @@
     std::vector<EffectiveValue> values;
 };
 
-/// `who` stays out: the server takes it from the key.
+/// Omits `who`, because the server derives it from the operator's key.
 std::string encodeChange(const peer::SettingsChange &change);
 Result<peer::SettingsChange> decodeChange(std::string_view body);
 
--- a/include/snipestall/admin/metrics.hpp
+++ b/include/snipestall/admin/metrics.hpp
@@ -19,8 +19,8 @@
 
 struct InstanceStatus;
 
-/// How a request is counted, apart from its customer: customers' names are no labels, since their
-/// number would multiply every series.
+/// Label by which requests are counted. Customers' names are not used as labels, because their
+/// number would multiply the number of time series.
 enum class RequestClass : int {
     Short,
     Long,
@@ -39,7 +39,7 @@
     Received,
 };
 
-/// Counters that the parts of an instance keep themselves, since its start.
+/// Counters that other components of an instance maintain, counted since its start.
 struct InstanceTotals
 {
     std::uint64_t attempts = 0;
@@ -53,8 +53,8 @@
     std::uint64_t claimsAbandoned = 0;
 };
 
-/// The product's metric families, listed in docs/metrics.md. Updates are cheap enough for every
-/// request and token; they are thread-safe.
+/// The product's metric families, listed in docs/metrics.md. Updates are thread-safe and cheap
+/// enough to be made for every request and token.
 ///
 ///     auto metrics = Metrics::create();
 ///     metrics->requestEnded(RequestClass::Short, RequestOutcome::Completed);
@@ -62,7 +62,8 @@
 {
 public:
     static std::unique_ptr<Metrics> create();
-    /// The same families in a registry that may have them already; both then count together.
+    /// Registers the families in `registry`. If it already holds them, both objects update the same
+    /// metrics.
     static std::unique_ptr<Metrics> createIn(std::shared_ptr<prometheus::Registry> registry);
     ~Metrics();
 
@@ -70,28 +71,35 @@
 
     void requestArrived(RequestClass requestClass);
     void requestEnded(RequestClass requestClass, RequestOutcome outcome);
-    /// From a request's arrival to the first byte of its answer.
-    void firstToken(RequestClass requestClass, std::chrono::nanoseconds delay);
-    void interToken(RequestClass requestClass, std::chrono::nanoseconds delay);
+    /// `delay` is the time from a request's arrival to the first byte of its answer.
+    void observeFirstToken(RequestClass requestClass, std::chrono::nanoseconds delay);
+    /// `delay` is the time between two tokens of one stream.
+    void observeInterToken(RequestClass requestClass, std::chrono::nanoseconds delay);
     void deadlineMissed(RequestClass requestClass);
 
     void setQueueLength(std::string_view service, std::uint64_t waiting);
+    /// Slots of the backend servers of `service` that this instance owns.
     void setSlots(std::string_view service, std::uint64_t total, std::uint64_t used);
-    void tokensGenerated(RequestClass requestClass, std::uint64_t tokens);
-    /// Price of the backend servers that this instance owns, in units an hour.
+    void addTokensGenerated(RequestClass requestClass, std::uint64_t tokens);
+    /// Price of the backend servers that this instance owns, in units per hour.
     void setCost(std::string_view service, double unitsPerHour);
 
-    /// Bytes between the system's own processes, requests and their answers left out.
-    void controlBytes(ControlDirection direction, std::uint64_t bytes);
+    /// Adds bytes exchanged between instances, without requests and their answers.
+    void addControlBytes(ControlDirection direction, std::uint64_t bytes);
     void setSettingsVersion(std::uint64_t version);
     void setStewardLease(bool isHeld);
-    /// Takes over counters that others keep; each total must not fall.
+    /// Raises the counters to totals that other components maintain. A total that is below its
+    /// counter is ignored, because a Prometheus counter must not decrease.
     void setTotals(const InstanceTotals &totals);
-    void handedOver(std::uint64_t requests);
-
-    /// Every gauge that an instance's status tells: settings version, lease, queues, slots.
-    void setFrom(const InstanceStatus &status);
-    /// What the backend servers of the status cost at the prices in force.
+    /// Adds accepted requests that this instance handed to another when it left.
+    void addHandedOverRequests(std::uint64_t requests);
+
+    /// Sets every gauge whose value an instance's status holds: settings version, steward lease,
+    /// queue lengths and slots.
+    void updateFrom(const InstanceStatus &status);
+    /// Sets each service's cost: the sum of the prices per hour in `classes` of the status' backend
+    /// servers. Call it after updateFrom() with the same status: a service that has lost its last
+    /// backend server is then set to 0.
     void setCosts(const InstanceStatus &status,
                   const std::vector<settings::ClassSettings> &classes);
 
@@ -102,7 +110,7 @@
     std::unique_ptr<Families> m_families;
 };
 
-/// The whole of docs/metrics.md, in Markdown, from the table that the families are made of.
+/// The text of docs/metrics.md, in Markdown, generated from the table that defines the families.
 std::string metricsPage();
 
 } // namespace snipestall::admin
--- a/include/snipestall/admin/node_totals.hpp
+++ b/include/snipestall/admin/node_totals.hpp
@@ -8,7 +8,7 @@
 
 namespace snipestall::admin {
 
-/// The counters that an instance's parts keep, for Metrics::setTotals.
+/// Collects the counters that the components of an instance maintain, for Metrics::setTotals().
 InstanceTotals totalsOf(entry::Node &node);
 
 } // namespace snipestall::admin
--- a/include/snipestall/admin/request_metrics.hpp
+++ b/include/snipestall/admin/request_metrics.hpp
@@ -13,13 +13,13 @@
 class Metrics;
 enum class RequestClass : int;
 
-/// Counts an instance's requests and their delays.
+/// Updates the metrics of an instance's requests: their number, outcomes and delays.
 ///
 ///     node.requests().observe(RequestMetrics::create(*metrics, node.settings()));
 class RequestMetrics final : public entry::RequestObserver
 {
 public:
-    /// Both must outlive the requests that are observed.
+    /// `metrics` and `settings` must outlive the observed requests.
     static std::shared_ptr<RequestMetrics> create(Metrics &metrics,
                                                   const peer::SettingsKeeper &settings);
 
--- a/include/snipestall/admin/status_source.hpp
+++ b/include/snipestall/admin/status_source.hpp
@@ -4,7 +4,8 @@
 
 namespace snipestall::admin {
 
-/// Implemented by the daemon; called on the loop's own thread, so it must not block.
+/// Source of the status that the operators' API reports; implemented by the daemon. status() is
+/// called on the event loop's thread, so it must not block.
 class StatusSource
 {
 public:
--- a/include/snipestall/admin/time_text.hpp
+++ b/include/snipestall/admin/time_text.hpp
@@ -8,10 +8,11 @@
 
 namespace snipestall::admin {
 
-/// "2026-12-02T20:37:00Z".
+/// Formats a time in UTC with a resolution of one second, such as "2026-12-02T20:37:00Z".
 std::string formatTime(WallTime time);
 
-/// Such a time, or how long before `now`: "30s", "15min", "2h", "7d". InvalidArgument otherwise.
+/// Parses a time in the format of formatTime(), or an age relative to `now`, such as "30s",
+/// "15min", "2h" or "7d". Fails with InvalidArgument for any other text.
 Result<WallTime> parseTime(std::string_view text, WallTime now);
 
 } // namespace snipestall::admin
--- a/include/snipestall/platform/cloud_api.hpp
+++ b/include/snipestall/platform/cloud_api.hpp
@@ -8,26 +8,30 @@
 
 namespace snipestall::platform {
 
-/// What to start, with the steward's proof that it may.
+/// An order to start an instance, with the fencing token of the steward that gives it.
 struct StartOrder
 {
-    /// Chosen by the orderer; the same id never starts a second instance.
+    /// Order id, chosen by the steward; the same id never starts a second instance.
     std::string order;
+    /// Fencing token of the steward's lease; the cloud refuses one below the greatest that it has
+    /// received.
     std::uint64_t fencing = 0;
     std::string service;
     std::string dataCentre;
     std::string instanceClass;
 };
 
-/// The cloud's starts and releases of instances.
+/// The platform's interface for starting and releasing instances. Both calls fail with Conflict if
+/// the platform has received a greater fencing token.
 class CloudApi
 {
 public:
     virtual ~CloudApi() = default;
 
-    /// Name of the instance; Exhausted if the cloud refuses the start.
+    /// Returns the name of the started instance; fails with Exhausted if the cloud refuses the
+    /// start for now.
     virtual wire::Task<Result<std::string>> start(StartOrder order) = 0;
-    virtual wire::Task<Result<void>> release(std::string instance, std::uint64_t fencing) = 0;
+    virtual wire::Task<Result<void>> release(std::string instance, std::uint64_t fencingToken) = 0;
 };
 
 } // namespace snipestall::platform
--- a/include/snipestall/platform/http_platform.hpp
+++ b/include/snipestall/platform/http_platform.hpp
@@ -20,10 +20,11 @@
 
 namespace snipestall::platform {
 
-/// The platform over HTTP. A transaction whose bytes may have left fails as OutcomeUnknown or
-/// DeadlineExceeded; anything that can't have had an effect, and every failed read, as Unavailable.
-/// The table, the objects and the cloud each have a circuit of their own: after repeated failures
-/// calls fail at once, and one probe at a time is let through.
+/// Client of the platform's HTTP interface. A transaction that may have been sent before its call
+/// failed fails with OutcomeUnknown or DeadlineExceeded. A transaction that can't have taken effect
+/// and every read that the platform does not answer fail with Unavailable. The table, the objects
+/// and the cloud each have their own circuit breaker: after repeated failures calls fail at once,
+/// and the breaker admits one probe at a time.
 ///
 ///     auto platform = HttpPlatform::create(io, endpoint, clock);
 ///     auto rows = co_await platform->read(keys);
@@ -49,9 +50,9 @@
     wire::Task<Result<std::vector<ListedInstance>>> list(std::string dataCentre) override;
 
     wire::Task<Result<std::string>> start(StartOrder order) override;
-    wire::Task<Result<void>> release(std::string instance, std::uint64_t fencing) override;
+    wire::Task<Result<void>> release(std::string instance, std::uint64_t fencingToken) override;
 
-    /// Whether the table answered when it was last asked.
+    /// False while the table's circuit breaker is open.
     [[nodiscard]] bool tableAvailable() const;
     [[nodiscard]] PlatformCounters counters() const;
 
--- a/include/snipestall/platform/http_platform_options.hpp
+++ b/include/snipestall/platform/http_platform_options.hpp
@@ -6,28 +6,31 @@
 
 namespace snipestall::platform {
 
-/// When calls stop being tried against a service that does not answer, and how they start again.
+/// When a circuit breaker stops calls to a service that does not answer, and how it resumes them.
 struct CircuitOptions
 {
-    /// Failures in a row that open the circuit: one lost connection is ordinary, three are not.
+    /// Consecutive failures that open the circuit. One lost connection is normal, three in a row
+    /// indicate an outage.
     std::size_t failuresToOpen = 3;
-    /// First and longest pause between probes. The longest bounds how late a recovery is noticed,
-    /// and with 320 instances keeps the probes of an outage under 100 a second.
+    /// Initial and maximum pause between probes. The maximum limits the delay until a recovery is
+    /// detected, and keeps the probes of 320 instances during an outage under 100 per second.
     std::chrono::milliseconds firstPause { 200 };
     std::chrono::milliseconds longestPause { 5000 };
-    /// Calls in flight at which a recovering circuit counts as closed; the allowance doubles
-    /// from 1.
-    std::size_t fullAllowance = 64;
+    /// Limit of calls in flight at which a recovering circuit becomes closed; the limit starts at 1
+    /// and doubles.
+    std::size_t inFlightLimitToClose = 64;
 };
 
+/// Timeouts and circuit breakers of an HttpPlatform.
 struct HttpPlatformOptions
 {
     std::chrono::milliseconds connectTimeout { 500 };
-    /// A table that is silent for longer counts as down: claims wait for it within a latency
-    /// target.
+    /// Time without data after which a call fails and counts as an outage. It is short because
+    /// claims wait for the table within a request's latency target.
     std::chrono::milliseconds idleTimeout { 2000 };
     CircuitOptions circuit;
-    /// Seed of the jitter between probes; differs from instance to instance.
+    /// Seed of the jitter between probes; must differ between instances, so that their probes are
+    /// spread.
     std::uint64_t seed = 1;
 };
 
--- a/include/snipestall/platform/instance_list.hpp
+++ b/include/snipestall/platform/instance_list.hpp
@@ -9,7 +9,8 @@
 
 namespace snipestall::platform {
 
-/// The platform's list of live and leaving instances. It lags; nothing may rest on it alone.
+/// The platform's list of live and leaving instances. The list lags behind the actual state, so no
+/// decision may depend on it alone.
 class InstanceList
 {
 public:
--- a/include/snipestall/platform/listed_instance.hpp
+++ b/include/snipestall/platform/listed_instance.hpp
@@ -12,20 +12,21 @@
     Backend,
 };
 
-/// One line of the platform's instance list: a hint that lags.
+/// One entry of the platform's instance list. It is only a hint, because the list lags behind the
+/// actual state.
 struct ListedInstance
 {
     std::string name;
-    /// Grows each time that the name or address is given out anew.
+    /// Increases each time that the platform assigns the name or the address again.
     std::uint64_t incarnation = 0;
     InstanceRole role = InstanceRole::Backend;
-    /// Address callers and peers use, IP:PORT.
+    /// Address for callers and peers, as IP:PORT.
     std::string address;
     std::string dataCentre;
     std::string service;
     std::string instanceClass;
     bool leaving = false;
-    /// Time left until it is taken, where there is a notice.
+    /// Time until the platform reclaims the instance; empty if no notice was given.
     std::optional<std::chrono::milliseconds> noticeLeft;
 };
 
--- a/include/snipestall/platform/row.hpp
+++ b/include/snipestall/platform/row.hpp
@@ -7,7 +7,8 @@
 
 namespace snipestall::platform {
 
-/// A row as read. The service raises `version` by each write; it is never 0 for a row that exists.
+/// A row as read. The service increases `version` with each write; it is never 0 for a row that
+/// exists.
 struct Row
 {
     RowKey key;
--- a/include/snipestall/platform/row_key.hpp
+++ b/include/snipestall/platform/row_key.hpp
@@ -5,7 +5,7 @@
 
 namespace snipestall::platform {
 
-/// Name of one row of the platform's table service.
+/// Key of one row of the platform's table service.
 struct RowKey
 {
     std::string table;
--- a/include/snipestall/platform/table_service.hpp
+++ b/include/snipestall/platform/table_service.hpp
@@ -10,17 +10,21 @@
 
 namespace snipestall::platform {
 
-/// The platform's transactional table. Errors: Unavailable (it had no effect), OutcomeUnknown and
-/// DeadlineExceeded (a write may have taken effect: read the rows back before anything else).
+/// The platform's transactional tables. Errors: Unavailable (the call had no effect);
+/// OutcomeUnknown and DeadlineExceeded (a write may have taken effect: read the rows back before
+/// any other step).
 class TableService
 {
 public:
     virtual ~TableService() = default;
 
+    /// Commits the transaction if its conditions hold. An unmet condition is no error; see
+    /// TransactionOutcome.
     virtual wire::Task<Result<TransactionOutcome>> transact(Transaction transaction) = 0;
-    /// Rows that exist, in the order of the keys; absent ones are left out.
+    /// Returns the rows that exist, in the order of `keys`; absent rows are left out.
     virtual wire::Task<Result<std::vector<Row>>> read(std::vector<RowKey> keys) = 0;
-    /// Up to `limit` rows whose key begins with `prefix` and is greater than `after`, by key.
+    /// Returns up to `limit` rows whose key begins with `prefix` and is greater than `after`, in
+    /// the order of their keys.
     virtual wire::Task<Result<std::vector<Row>>> scan(std::string table, std::string prefix,
                                                       std::string after, std::size_t limit) = 0;
 };
--- a/include/snipestall/platform/transaction.hpp
+++ b/include/snipestall/platform/transaction.hpp
@@ -9,31 +9,33 @@
 
 namespace snipestall::platform {
 
-/// The row must be at this version; 0 means that it must not exist.
+/// Requires that the row has this version; 0 requires that it does not exist.
 struct Condition
 {
     RowKey key;
     std::uint64_t version = 0;
 };
 
-/// Puts a value, or deletes the row when there is none.
+/// Writes `value` to the row, or deletes the row if there is no value.
 struct Write
 {
     RowKey key;
     std::optional<std::string> value;
 };
 
-/// All or nothing: if each condition holds, each write takes effect.
+/// Atomic: if every condition holds, every write takes effect, otherwise none does.
 struct Transaction
 {
     std::vector<Condition> conditions;
     std::vector<Write> writes;
 };
 
+/// Result of a transaction that the table service processed.
 struct TransactionOutcome
 {
     bool committed = false;
-    /// When not committed: the rows whose conditions failed, as they are (version 0 if absent).
+    /// If not committed: the current state of the rows whose conditions failed (version 0 if
+    /// absent).
     std::vector<Row> conflicts;
 };
 
--- a/src/snipestall/admin/admin_api.cpp
+++ b/src/snipestall/admin/admin_api.cpp
@@ -9,11 +9,11 @@
 namespace snipestall::admin {
 namespace {
 
-constexpr std::size_t HashLength = 64;
+constexpr std::size_t HexDigestLength = 64;
 
-bool isHash(const std::string &text)
+bool isSha256Hex(const std::string &text)
 {
-    return text.size() == HashLength
+    return text.size() == HexDigestLength
         && text.find_first_not_of("0123456789abcdef") == std::string::npos;
 }
 
@@ -24,11 +24,12 @@
     const bool isComplete = dependencies.store && dependencies.keeper && dependencies.status
         && dependencies.clock && dependencies.metrics && dependencies.drain;
     if (!isComplete)
-        return fail(ErrorKind::InvalidArgument, "the operators' API lacks one of its dependencies");
-    if (!dependencies.bootstrapKeyHash.empty() && !isHash(dependencies.bootstrapKeyHash))
         return fail(ErrorKind::InvalidArgument,
-                    "the bootstrap key's hash must be 64 lower-case hex digits; make a key and its "
-                    "hash with snipestallctl new-key");
+                    "a required dependency of the operators' API is not set");
+    if (!dependencies.bootstrapKeyHash.empty() && !isSha256Hex(dependencies.bootstrapKeyHash))
+        return fail(ErrorKind::InvalidArgument,
+                    "the bootstrap key's hash must be 64 lower-case hex digits; create a key and "
+                    "its hash with snipestallctl new-key");
     auto routes = std::make_unique<Routes>(std::move(dependencies));
     return std::unique_ptr<AdminApi>(new AdminApi(std::move(routes)));
 }
--- a/src/snipestall/admin/admin_api_test.cpp
+++ b/src/snipestall/admin/admin_api_test.cpp
@@ -78,21 +78,21 @@
     wire::HttpRequest m_request;
 };
 
-/// One instance's operators' API over a table that several instances share.
+/// The operators' API of one instance, with a table that several instances can share.
 struct Instance
 {
     Instance(platform::TableService &table, const Clock &clock)
         : store(table, clock)
     {
-        AdminApi::Dependencies uses;
-        uses.store = &store;
-        uses.keeper = &keeper;
-        uses.status = &status;
-        uses.clock = &clock;
-        uses.metrics = metrics->registry();
-        uses.drain = [this] { ++drains; };
-        uses.bootstrapKeyHash = settings::sha256Hex(BootstrapKey);
-        api = AdminApi::create(std::move(uses)).value();
+        AdminApi::Dependencies dependencies;
+        dependencies.store = &store;
+        dependencies.keeper = &keeper;
+        dependencies.status = &status;
+        dependencies.clock = &clock;
+        dependencies.metrics = metrics->registry();
+        dependencies.drain = [this] { ++drains; };
+        dependencies.bootstrapKeyHash = settings::sha256Hex(BootstrapKey);
+        api = AdminApi::create(std::move(dependencies)).value();
     }
 
     peer::SettingsStore store;
@@ -155,9 +155,10 @@
     EXPECT_EQ(m_north.keeper.version(), 1U);
 }
 
-// An instance restarts while the platform's table is down, so it knows no settings although there
-// are some. If it took the bootstrap key, whoever once learned it could set what they like.
-TEST_F(AdminApiTest, ARestartedInstanceNeverTakesTheBootstrapKey)
+// An instance restarts while the platform's table is down, so it has no settings in force although
+// some exist. If it accepted the bootstrap key, anyone who has ever learned that key could change
+// any setting.
+TEST_F(AdminApiTest, ARestartedInstanceNeverAcceptsTheBootstrapKey)
 {
     ASSERT_EQ(apply(m_north, BootstrapKey, 0, First).status, 200);
     Instance restarted { m_table, m_clock };
@@ -169,7 +170,7 @@
     EXPECT_EQ(call(restarted, "GET", "/settings", "key-of-ayla").status, 200);
 }
 
-TEST_F(AdminApiTest, TheAuditNamesTheOperatorOfTheKey)
+TEST_F(AdminApiTest, TheAuditTrailNamesTheOperatorOfTheKey)
 {
     apply(m_north, BootstrapKey, 0, First);
     m_clock.advance(std::chrono::hours(1));
@@ -187,9 +188,10 @@
     EXPECT_EQ(call(m_north, "GET", "/audit?since=yesterday", "key-of-ayla").status, 400);
 }
 
-// Two operators look at version 1 and change the same weight. The second must not undo the first
-// unseen: the refusal shows what was changed, by whom, and to which version it led.
-TEST_F(AdminApiTest, TheSecondOfTwoRacingOperatorsIsShownTheFirstsChange)
+// Two operators read version 1 and change the same weight. The second change must not overwrite the
+// first without its operator's knowledge: the refusal shows what was changed, by whom, and which
+// version resulted.
+TEST_F(AdminApiTest, ARefusedConcurrentChangeShowsTheConflictingOne)
 {
     apply(m_north, BootstrapKey, 0, First);
     ASSERT_EQ(set(m_north, "key-of-ayla", 1, "customers/kiyi/weight", "4").status, 200);
@@ -215,7 +217,7 @@
     EXPECT_EQ(call(m_north, "POST", "/settings/changes", "key-of-ayla", "{").status, 400);
 }
 
-TEST_F(AdminApiTest, WordsThatCouldMisleadTheReaderOfTheAuditAreRefused)
+TEST_F(AdminApiTest, InvalidIdsAndReasonsAreRefused)
 {
     apply(m_north, BootstrapKey, 0, First);
     const std::vector<std::pair<std::string, std::string>> wrong {
@@ -233,8 +235,9 @@
     EXPECT_EQ(m_north.keeper.version(), 1U);
 }
 
-// The table commits a change and its answer is lost, then the table goes down. The operator must
-// hear "unknown", not "refused", and the same id sent again must find the change, not repeat it.
+// The table commits a change, its answer is lost, and then the table goes down. The operator must
+// be informed that the outcome is unknown, not that the change was refused. A repeat with the same
+// id must find the change and not apply it again.
 TEST_F(AdminApiTest, AnUnknownOutcomeIsSettledByTheSameId)
 {
     apply(m_north, BootstrapKey, 0, First);
@@ -251,7 +254,7 @@
     EXPECT_EQ(decodeAccepted(settled.body)->version, 2U);
 }
 
-TEST_F(AdminApiTest, WithTheTableDownShowsWhatIsInForceHere)
+TEST_F(AdminApiTest, WhileTheTableIsDownTheSettingsInForceAreShown)
 {
     apply(m_north, BootstrapKey, 0, First);
     m_table.down = true;
--- a/src/snipestall/admin/admin_routes.cpp
+++ b/src/snipestall/admin/admin_routes.cpp
@@ -61,43 +61,43 @@
     return message;
 }
 
-// The id becomes part of a row's key, and both stand in the audit trail, which other operators read
-// on their terminals: a control character there could rewrite what they see.
-std::optional<Error> wrongWords(const peer::SettingsChange &change)
+// Checks a change's id and reason. The id becomes part of a row's key. Both are stored in the audit
+// trail, which other operators read on their terminals, where a control character could alter what
+// they see.
+std::optional<Error> findInvalidText(const peer::SettingsChange &change)
 {
-    constexpr std::size_t LongestId = 64;
-    constexpr std::size_t LongestReason = 500;
+    constexpr std::size_t MaxIdLength = 64;
+    constexpr std::size_t MaxReasonLength = 500;
     const auto isIdCharacter = [](unsigned char c) {
         return std::isalnum(c) || c == '-' || c == '_';
     };
     const auto isControl = [](unsigned char c) { return std::iscntrl(c) != 0; };
     const std::string &id = change.id;
-    if (id.empty() || id.size() > LongestId || !std::all_of(id.begin(), id.end(), isIdCharacter))
-        return Error {
-            ErrorKind::InvalidArgument,
-            "an id has 1 to 64 letters, digits, '-' or '_'; let snipestallctl choose it"
-        };
+    if (id.empty() || id.size() > MaxIdLength || !std::all_of(id.begin(), id.end(), isIdCharacter))
+        return Error { ErrorKind::InvalidArgument,
+                       "the id must consist of 1 to 64 letters, digits, '-' or '_'; let "
+                       "snipestallctl choose it" };
     const std::string &reason = change.reason;
-    if (reason.size() > LongestReason || std::any_of(reason.begin(), reason.end(), isControl))
+    if (reason.size() > MaxReasonLength || std::any_of(reason.begin(), reason.end(), isControl))
         return Error { ErrorKind::InvalidArgument,
-                       "a reason is one line of at most 500 bytes; shorten it" };
+                       "the reason must be one line of at most 500 bytes; shorten it" };
     return std::nullopt;
 }
 
-Error notInTree(const settings::EffectiveQuery &query)
+Error noValuesError(const settings::EffectiveQuery &query)
 {
-    std::string message = "nothing is in force for data centre '" + query.dataCentre + "'";
+    std::string message = "no settings are in force for data centre '" + query.dataCentre + "'";
     if (!query.customer.empty())
         message += ", customer '" + query.customer + "'";
     if (!query.service.empty())
         message += ", service '" + query.service + "'";
-    return { ErrorKind::NotFound, message + "; see their names with snipestallctl get" };
+    return { ErrorKind::NotFound, message + "; list the names with snipestallctl get" };
 }
 
-/// The others' changes that stand in the way, with who made them.
-std::vector<peer::AuditRecord> inTheWay(const std::vector<peer::AuditRecord> &records,
-                                        std::uint64_t baseVersion,
-                                        const std::vector<settings::Difference> &theirs)
+/// Returns the records after `baseVersion` that changed one of the paths in `theirs`.
+std::vector<peer::AuditRecord> conflictingRecords(const std::vector<peer::AuditRecord> &records,
+                                                  std::uint64_t baseVersion,
+                                                  const std::vector<settings::Difference> &theirs)
 {
     std::vector<settings::Edit> paths;
     paths.reserve(theirs.size());
@@ -117,20 +117,20 @@
 {
     std::string_view method;
     std::string_view path;
-    /// The path goes on after `path`.
+    /// Whether the route matches every path that begins with `path`.
     bool isPrefix;
-    Member member;
+    Handler handler;
 };
 
 AdminApi::Routes::Routes(Dependencies dependencies)
-    : m_uses(std::move(dependencies))
-    , m_auth(*m_uses.store, *m_uses.keeper, m_uses.bootstrapKeyHash)
-    , m_gauges(Metrics::createIn(m_uses.metrics))
+    : m_dependencies(std::move(dependencies))
+    , m_auth(*m_dependencies.store, *m_dependencies.keeper, m_dependencies.bootstrapKeyHash)
+    , m_metrics(Metrics::createIn(m_dependencies.metrics))
 { }
 
 AdminApi::Routes::~Routes() = default;
 
-const AdminApi::Routes::Route *AdminApi::Routes::find(const HttpRequest &request)
+const AdminApi::Routes::Route *AdminApi::Routes::findRoute(const HttpRequest &request)
 {
     static constexpr std::array Table {
         Route { "GET", "/settings", false, &Routes::getSettings },
@@ -143,8 +143,8 @@
     };
     const std::string_view path = request.path();
     for (const Route &route : Table) {
-        const bool isPath = route.isPrefix ? path.starts_with(route.path) : path == route.path;
-        if (isPath && request.method == route.method)
+        const bool matchesPath = route.isPrefix ? path.starts_with(route.path) : path == route.path;
+        if (matchesPath && request.method == route.method)
             return &route;
     }
     return nullptr;
@@ -158,7 +158,7 @@
         logEvent(events::UnexpectedException, { { "what", unexpected.what() } });
     }
     const Error error { ErrorKind::Internal,
-                        "something broke on this instance; see event 190 in its log" };
+                        "internal error on this instance; see event 190 in its log" };
     co_return refusal(error);
 }
 
@@ -166,41 +166,43 @@
 {
     if (request.path() == MetricsPath && request.method == "GET")
         co_return metrics();
-    auto who = co_await m_auth.operatorOf(request);
+    auto who = co_await m_auth.authenticate(request);
     if (!who)
         co_return refusal(who.error());
-    const Route *route = find(request);
+    const Route *route = findRoute(request);
     if (!route) {
         const Error error { ErrorKind::NotFound,
-                            "no " + request.method + " " + std::string(request.path())
-                                + "; the calls are listed in docs/snipestallctl.md" };
+                            "no route " + request.method + " " + std::string(request.path())
+                                + "; the routes are listed in docs/snipestallctl.md" };
         co_return refusal(error);
     }
     const Call call { request, std::move(*who) };
-    co_return co_await (this->*route->member)(call);
+    co_return co_await (this->*route->handler)(call);
 }
 
-// With the platform down operators still need to see what is in force, and a change made against it
-// is refused by the store, not here.
+// Operators must be able to see the settings in force during an outage of the platform. A change
+// that is based on them is then refused by the store, not here.
 AdminApi::Routes::Answer AdminApi::Routes::getSettings(const Call &)
 {
-    const auto head = co_await m_uses.store->head();
+    const auto head = co_await m_dependencies.store->head();
     if (head)
         co_return settingsReply(*head, true);
-    if (m_uses.keeper->version() == 0)
+    if (m_dependencies.keeper->version() == 0)
         co_return refusal(head.error());
-    co_return settingsReply(m_uses.keeper->document(), false);
+    co_return settingsReply(m_dependencies.keeper->document(), false);
 }
 
 AdminApi::Routes::Answer AdminApi::Routes::getVersion(const Call &call)
 {
     const auto version = versionIn(call.request.path());
     if (!version) {
-        const Error error { ErrorKind::InvalidArgument,
-                            "a version is a whole number; list them with snipestallctl history" };
+        const Error error {
+            ErrorKind::InvalidArgument,
+            "the version must be a whole number; list versions with snipestallctl history"
+        };
         co_return refusal(error);
     }
-    const auto document = co_await m_uses.store->version(*version);
+    const auto document = co_await m_dependencies.store->version(*version);
     if (!document)
         co_return refusal(document.error());
     co_return settingsReply(*document, true);
@@ -208,12 +210,12 @@
 
 AdminApi::Routes::Answer AdminApi::Routes::getEffective(const Call &call)
 {
-    const peer::SettingsDocument document = m_uses.keeper->document();
+    const peer::SettingsDocument document = m_dependencies.keeper->document();
     const auto tree = settings::Tree::parse(document.yaml);
     if (!tree) {
         const Error error {
             ErrorKind::NotFound,
-            "no settings are in force yet; begin with snipestallctl apply -f FILE"
+            "no settings are in force yet; apply some with snipestallctl apply -f FILE"
         };
         co_return refusal(error);
     }
@@ -221,10 +223,10 @@
                                      call.request.query("customer"),
                                      call.request.query("service") };
     if (query.dataCentre.empty())
-        query.dataCentre = m_uses.status->status().dataCentre;
+        query.dataCentre = m_dependencies.status->status().dataCentre;
     const auto values = settings::explainEffective(*tree, query);
     if (values.empty())
-        co_return refusal(notInTree(query));
+        co_return refusal(noValuesError(query));
     const auto message = effectiveMessage(document.version, query.dataCentre, values);
     co_return HttpResponse::json(Ok, encodeEffective(message));
 }
@@ -234,15 +236,15 @@
     auto change = decodeChange(call.request.body);
     if (!change)
         co_return refusal(change.error());
-    if (const auto wrong = wrongWords(*change))
+    if (const auto wrong = findInvalidText(*change))
         co_return refusal(*wrong);
     change->who = call.who;
     const std::string id = change->id;
     const std::uint64_t base = change->baseVersion;
-    auto accepted = co_await m_uses.store->change(std::move(*change));
+    auto accepted = co_await m_dependencies.store->change(std::move(*change));
     if (!accepted)
         co_return co_await refuseChange(call.who, id, base, std::move(accepted.error()));
-    m_uses.keeper->offer(*accepted);
+    m_dependencies.keeper->offer(*accepted);
     logEvent(events::OperatorChange,
              { { "operator", call.who },
                { "change", id },
@@ -262,25 +264,25 @@
     RefusalMessage message;
     message.error = std::move(refused.error);
     if (message.error.kind == ErrorKind::Unavailable)
-        message.error.message = "not applied: the platform's table can't be reached ("
-            + message.error.message + "); what is in force stays; try again when it answers";
+        message.error.message = "not applied: the platform's table is unavailable ("
+            + message.error.message + "); the settings in force remain; try again when it answers";
     message.faults = std::move(refused.faults);
     message.theirs = std::move(refused.theirs);
     message.currentVersion = refused.currentVersion;
     if (!message.theirs.empty()) {
-        const auto recent = co_await m_uses.store->audit(0, RecentRecords);
+        const auto recent = co_await m_dependencies.store->audit(0, RecentRecords);
         if (recent)
-            message.changes = inTheWay(*recent, baseVersion, message.theirs);
+            message.changes = conflictingRecords(*recent, baseVersion, message.theirs);
     }
     co_return refusal(message);
 }
 
 AdminApi::Routes::Answer AdminApi::Routes::getAudit(const Call &call)
 {
-    auto query = parseAuditQuery(call.request, m_uses.clock->wallNow());
+    auto query = parseAuditQuery(call.request, m_dependencies.clock->wallNow());
     if (!query)
         co_return refusal(query.error());
-    const auto found = co_await findAudit(*m_uses.store, std::move(*query));
+    const auto found = co_await findAudit(*m_dependencies.store, std::move(*query));
     if (!found)
         co_return refusal(found.error());
     co_return HttpResponse::json(Ok, encodeAudit(*found));
@@ -288,27 +290,27 @@
 
 AdminApi::Routes::Answer AdminApi::Routes::getStatus(const Call &)
 {
-    co_return HttpResponse::json(Ok, encodeStatus(m_uses.status->status()));
+    co_return HttpResponse::json(Ok, encodeStatus(m_dependencies.status->status()));
 }
 
 AdminApi::Routes::Answer AdminApi::Routes::postDrain(const Call &call)
 {
     logEvent(events::OperatorDrain, { { "operator", call.who } });
-    m_uses.drain();
-    co_return HttpResponse::json(Accepted, encodeStatus(m_uses.status->status()));
+    m_dependencies.drain();
+    co_return HttpResponse::json(Accepted, encodeStatus(m_dependencies.status->status()));
 }
 
 HttpResponse AdminApi::Routes::metrics()
 {
-    if (m_uses.beforeMetrics)
-        m_uses.beforeMetrics();
-    const InstanceStatus status = m_uses.status->status();
-    m_gauges->setFrom(status);
-    if (const auto view = m_uses.keeper->effective())
-        m_gauges->setCosts(status, view->classes);
+    if (m_dependencies.beforeMetrics)
+        m_dependencies.beforeMetrics();
+    const InstanceStatus status = m_dependencies.status->status();
+    m_metrics->updateFrom(status);
+    if (const auto view = m_dependencies.keeper->effective())
+        m_metrics->setCosts(status, view->classes);
     HttpResponse response;
     response.fields.set("Content-Type", "text/plain; version=0.0.4");
-    response.body = prometheus::TextSerializer().Serialize(m_uses.metrics->Collect());
+    response.body = prometheus::TextSerializer().Serialize(m_dependencies.metrics->Collect());
     return response;
 }
 
--- a/src/snipestall/admin/admin_routes.hpp
+++ b/src/snipestall/admin/admin_routes.hpp
@@ -18,14 +18,15 @@
 
 class Metrics;
 
-/// One authenticated request.
+/// An authenticated request.
 struct Call
 {
     const wire::HttpRequest &request;
+    /// Name of the operator whose key the request carries.
     std::string who;
 };
 
-/// What AdminApi answers, route by route.
+/// Implements the routes of AdminApi.
 class AdminApi::Routes
 {
 public:
@@ -34,13 +35,13 @@
     explicit Routes(Dependencies dependencies);
     ~Routes();
 
-    /// Never throws: what goes wrong unforeseen is logged and answered with 500.
+    /// Never throws: an unexpected exception is logged and answered with 500.
     Answer answer(const wire::HttpRequest &request);
 
 private:
-    using Member = Answer (Routes::*)(const Call &);
+    using Handler = Answer (Routes::*)(const Call &);
     struct Route;
-    static const Route *find(const wire::HttpRequest &request);
+    static const Route *findRoute(const wire::HttpRequest &request);
 
     Answer dispatch(const wire::HttpRequest &request);
     Answer getSettings(const Call &call);
@@ -56,9 +57,9 @@
                                                 std::uint64_t baseVersion,
                                                 peer::ChangeRefusal refused);
 
-    Dependencies m_uses;
+    Dependencies m_dependencies;
     OperatorAuth m_auth;
-    std::unique_ptr<Metrics> m_gauges;
+    std::unique_ptr<Metrics> m_metrics;
 };
 
 } // namespace snipestall::admin
--- a/src/snipestall/admin/audit_query.cpp
+++ b/src/snipestall/admin/audit_query.cpp
@@ -13,24 +13,25 @@
 namespace snipestall::admin {
 namespace {
 
-/// The table gives about two thousand reads a second to everyone; one question takes few of them.
-constexpr std::size_t PageRows = 100;
-constexpr std::size_t MostPages = 20;
-constexpr std::size_t MostRecords = 1000;
+/// The table serves about 2000 reads per second to all instances together; these limits keep one
+/// query to a small part of them.
+constexpr std::size_t RowsPerPage = 100;
+constexpr std::size_t MaxPages = 20;
+constexpr std::size_t MaxRecords = 1000;
 constexpr std::uint64_t OldestVersion = 1;
 
-Result<std::uint64_t> numberOf(const wire::HttpRequest &request, std::string_view name,
-                               std::uint64_t absent)
+Result<std::uint64_t> numberParameter(const wire::HttpRequest &request, std::string_view name,
+                                      std::uint64_t defaultValue)
 {
     const std::string text = request.query(name);
     if (text.empty())
-        return absent;
+        return defaultValue;
     std::uint64_t number = 0;
     const char *end = text.data() + text.size();
     const auto [rest, error] = std::from_chars(text.data(), end, number);
     if (error != std::errc {} || rest != end)
         return fail(ErrorKind::InvalidArgument,
-                    std::string(name) + "=" + text + " is no number; write a whole number");
+                    std::string(name) + "=" + text + " is not a number; write a whole number");
     return number;
 }
 
@@ -40,12 +41,12 @@
         return false;
     if (query.path.empty())
         return true;
-    const settings::Edit asked { query.path, std::nullopt };
-    return settings::touch(record.differences, std::span(&asked, 1));
+    const settings::Edit pathEdit { query.path, std::nullopt };
+    return settings::touch(record.differences, std::span(&pathEdit, 1));
 }
 
-/// Takes from one page; false once nothing older can be wanted.
-bool takePage(const AuditQuery &query, std::vector<peer::AuditRecord> page, AuditMessage &found)
+/// Adds the matching records of a page to `found`; returns false if no older page is needed.
+bool addPage(const AuditQuery &query, std::vector<peer::AuditRecord> page, AuditMessage &found)
 {
     for (peer::AuditRecord &record : page) {
         if (query.since && record.at < *query.since) {
@@ -75,12 +76,12 @@
             return tl::unexpected<Error>(time.error());
         query.since = *time;
     }
-    const auto before = numberOf(request, "before", 0);
-    const auto limit = numberOf(request, "limit", query.limit);
+    const auto before = numberParameter(request, "before", 0);
+    const auto limit = numberParameter(request, "limit", query.limit);
     if (!before || !limit)
         return tl::unexpected<Error>(before ? limit.error() : before.error());
     query.before = *before;
-    query.limit = std::clamp<std::size_t>(*limit, 1, MostRecords);
+    query.limit = std::clamp<std::size_t>(*limit, 1, MaxRecords);
     return query;
 }
 
@@ -88,13 +89,13 @@
 {
     AuditMessage found;
     std::uint64_t before = query.before;
-    for (std::size_t pages = 0; pages < MostPages; ++pages) {
-        auto page = co_await store.audit(before, PageRows);
+    for (std::size_t pages = 0; pages < MaxPages; ++pages) {
+        auto page = co_await store.audit(before, RowsPerPage);
         if (!page)
             co_return tl::unexpected<Error>(page.error());
-        const bool isLast = page->size() < PageRows;
-        const bool wantsMore = takePage(query, std::move(*page), found);
-        if (!wantsMore)
+        const bool isLast = page->size() < RowsPerPage;
+        const bool needsOlder = addPage(query, std::move(*page), found);
+        if (!needsOlder)
             break;
         if (isLast) {
             found.before = 0;
--- a/src/snipestall/admin/json_parts.cpp
+++ b/src/snipestall/admin/json_parts.cpp
@@ -5,7 +5,7 @@
 namespace snipestall::admin {
 namespace {
 
-const boost::json::value &need(const boost::json::object &object, std::string_view name)
+const boost::json::value &requiredMember(const boost::json::object &object, std::string_view name)
 {
     const boost::json::value *value = object.if_contains(name);
     if (!value)
@@ -22,7 +22,7 @@
 
 std::string textAt(const boost::json::object &object, std::string_view name)
 {
-    const boost::json::string *text = need(object, name).if_string();
+    const boost::json::string *text = requiredMember(object, name).if_string();
     if (!text)
         throw wrongType(name, "a string");
     return { text->data(), text->size() };
@@ -31,15 +31,15 @@
 std::uint64_t numberAt(const boost::json::object &object, std::string_view name)
 {
     boost::json::error_code error;
-    const auto number = need(object, name).to_number<std::uint64_t>(error);
+    const auto number = requiredMember(object, name).to_number<std::uint64_t>(error);
     if (error)
-        throw wrongType(name, "a whole number from 0");
+        throw wrongType(name, "a whole number of at least 0");
     return number;
 }
 
 bool flagAt(const boost::json::object &object, std::string_view name)
 {
-    const bool *flag = need(object, name).if_bool();
+    const bool *flag = requiredMember(object, name).if_bool();
     if (!flag)
         throw wrongType(name, "true or false");
     return *flag;
@@ -58,7 +58,7 @@
     return textAt(object, name);
 }
 
-boost::json::value orNull(const std::optional<std::string> &text)
+boost::json::value textOrNull(const std::optional<std::string> &text)
 {
     return text ? boost::json::value(*text) : boost::json::value(nullptr);
 }
--- a/src/snipestall/admin/json_parts.hpp
+++ b/src/snipestall/admin/json_parts.hpp
@@ -13,15 +13,19 @@
 
 namespace snipestall::admin {
 
-/// Texts and numbers of a JSON object; the `at` of a missing or wrongly typed one throws, which
-/// `decode` turns into an error.
+/// Each function returns the member `name` of a JSON object. It throws if the member is missing or
+/// has another type; decode() turns the exception into an error. Numbers are whole and not
+/// negative.
 std::string textAt(const boost::json::object &object, std::string_view name);
 std::uint64_t numberAt(const boost::json::object &object, std::string_view name);
 bool flagAt(const boost::json::object &object, std::string_view name);
 std::chrono::milliseconds millisecondsAt(const boost::json::object &object, std::string_view name);
+/// Returns nothing if the member is missing or null.
 std::optional<std::string> optionalTextAt(const boost::json::object &object, std::string_view name);
-boost::json::value orNull(const std::optional<std::string> &text);
+/// Returns the text as a JSON string, or null if there is none.
+boost::json::value textOrNull(const std::optional<std::string> &text);
 
+/// Returns a JSON array of `items`, each converted by `write`.
 template<typename T>
 boost::json::array arrayOf(const std::vector<T> &items, boost::json::object (*write)(const T &))
 {
@@ -31,7 +35,8 @@
     return array;
 }
 
-/// The items of an array; an absent one is empty.
+/// Returns the items of the array `name`, each converted by `read`; a missing array counts as
+/// empty.
 template<typename T>
 std::vector<T> listAt(const boost::json::object &object, std::string_view name,
                       T (*read)(const boost::json::object &))
@@ -45,15 +50,17 @@
     return items;
 }
 
+/// Parses a body and converts it by `read`; an exception becomes InvalidArgument.
 template<typename T>
 Result<T> decode(std::string_view body, T (*read)(const boost::json::object &))
 {
     try {
         return read(boost::json::parse(body).as_object());
-    } catch (const std::exception &wrong) {
-        return fail(ErrorKind::InvalidArgument,
-                    std::string("the body is not as docs/snipestallctl.md describes it: ")
-                        + wrong.what());
+    } catch (const std::exception &exception) {
+        return fail(
+            ErrorKind::InvalidArgument,
+            std::string("the body does not match its description in docs/snipestallctl.md: ")
+                + exception.what());
     }
 }
 
--- a/src/snipestall/admin/messages.cpp
+++ b/src/snipestall/admin/messages.cpp
@@ -13,7 +13,7 @@
 
 json::object writeEdit(const settings::Edit &edit)
 {
-    return { { "path", edit.path }, { "value", orNull(edit.value) } };
+    return { { "path", edit.path }, { "value", textOrNull(edit.value) } };
 }
 
 settings::Edit readEdit(const object &from)
@@ -34,8 +34,8 @@
 json::object writeDifference(const settings::Difference &difference)
 {
     return { { "path", difference.path },
-             { "before", orNull(difference.before) },
-             { "after", orNull(difference.after) } };
+             { "before", textOrNull(difference.before) },
+             { "after", textOrNull(difference.after) } };
 }
 
 settings::Difference readDifference(const object &from)
--- a/src/snipestall/admin/metric_info.hpp
+++ b/src/snipestall/admin/metric_info.hpp
@@ -12,7 +12,7 @@
     Histogram,
 };
 
-/// The families in the order of the table.
+/// Identifies a metric family, in the order of metricTable().
 enum class MetricId : std::uint8_t {
     RequestsArrived,
     Requests,
@@ -39,17 +39,19 @@
     RequestsHandedOver,
 };
 
-/// One metric family.
+/// Describes one metric family.
 struct MetricInfo
 {
     MetricId id;
     MetricKind kind;
     std::string_view name;
-    /// Names of labels, separated by commas.
+    /// Label names, separated by commas.
     std::string_view labels;
+    /// Description, for Prometheus and for docs/metrics.md.
     std::string_view help;
 };
 
+/// The table from which the metric families and docs/metrics.md are generated.
 std::span<const MetricInfo> metricTable();
 
 } // namespace snipestall::admin
--- a/src/snipestall/admin/metrics.cpp
+++ b/src/snipestall/admin/metrics.cpp
@@ -26,7 +26,8 @@
 constexpr std::array OutcomeNames { "completed", "not-run", "unknown", "failed" };
 constexpr std::array DirectionNames { "sent", "received" };
 
-/// Bounds in seconds, dense around the targets of 1.2 s and 35 ms.
+/// Bucket bounds in seconds, closer together around the latency targets: 1.2 s to the first token
+/// and 35 ms between tokens.
 const Histogram::BucketBoundaries FirstTokenBounds { 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6,
                                                      0.8,  1.0,   1.2,  1.5, 2.0, 4.0, 10.0 };
 const Histogram::BucketBoundaries InterTokenBounds { 0.005, 0.01,  0.015, 0.02, 0.025,
@@ -58,14 +59,15 @@
         std::uint64_t total = 0;
         std::uint64_t used = 0;
     };
-    /// Services once seen stay, so that the gauge of one whose last server has gone falls to 0.
+    /// Slots by service. A service is never removed, so that its gauges fall to 0 when its last
+    /// backend server is gone.
     std::map<std::string, Slots> slotsOf;
 
-    explicit Families(std::shared_ptr<prometheus::Registry> shared);
+    explicit Families(std::shared_ptr<prometheus::Registry> sharedRegistry);
 
-    void count(MetricId id, const Labels &labels, std::uint64_t by = 1)
+    void count(MetricId id, const Labels &labels, std::uint64_t amount = 1)
     {
-        counters.at(id)->Add(labels).Increment(static_cast<double>(by));
+        counters.at(id)->Add(labels).Increment(static_cast<double>(amount));
     }
     void set(MetricId id, const Labels &labels, double value)
     {
@@ -79,8 +81,8 @@
     }
 };
 
-Metrics::Families::Families(std::shared_ptr<prometheus::Registry> shared)
-    : registry(std::move(shared))
+Metrics::Families::Families(std::shared_ptr<prometheus::Registry> sharedRegistry)
+    : registry(std::move(sharedRegistry))
 {
     for (const MetricInfo &row : metricTable()) {
         const std::string name(row.name);
@@ -130,12 +132,12 @@
                         { "outcome", nameOf(OutcomeNames, outcome) } });
 }
 
-void Metrics::firstToken(RequestClass requestClass, std::chrono::nanoseconds delay)
+void Metrics::observeFirstToken(RequestClass requestClass, std::chrono::nanoseconds delay)
 {
     m_families->observe(MetricId::FirstToken, requestClass, delay, FirstTokenBounds);
 }
 
-void Metrics::interToken(RequestClass requestClass, std::chrono::nanoseconds delay)
+void Metrics::observeInterToken(RequestClass requestClass, std::chrono::nanoseconds delay)
 {
     m_families->observe(MetricId::InterToken, requestClass, delay, InterTokenBounds);
 }
@@ -158,7 +160,7 @@
     m_families->set(MetricId::SlotsUsed, labels, static_cast<double>(used));
 }
 
-void Metrics::tokensGenerated(RequestClass requestClass, std::uint64_t tokens)
+void Metrics::addTokensGenerated(RequestClass requestClass, std::uint64_t tokens)
 {
     m_families->count(MetricId::TokensGenerated, { { "class", nameOf(ClassNames, requestClass) } },
                       tokens);
@@ -169,7 +171,7 @@
     m_families->set(MetricId::Cost, { { "service", std::string(service) } }, unitsPerHour);
 }
 
-void Metrics::controlBytes(ControlDirection direction, std::uint64_t bytes)
+void Metrics::addControlBytes(ControlDirection direction, std::uint64_t bytes)
 {
     m_families->count(MetricId::ControlBytes,
                       { { "direction", nameOf(DirectionNames, direction) } }, bytes);
@@ -205,18 +207,18 @@
     };
     for (const Total &total : Totals) {
         Counter &counter = m_families->counters.at(total.id)->Add({});
-        const double now = static_cast<double>(totals.*total.member);
-        if (now > counter.Value())
-            counter.Increment(now - counter.Value());
+        const double newValue = static_cast<double>(totals.*total.member);
+        if (newValue > counter.Value())
+            counter.Increment(newValue - counter.Value());
     }
 }
 
-void Metrics::handedOver(std::uint64_t requests)
+void Metrics::addHandedOverRequests(std::uint64_t requests)
 {
     m_families->count(MetricId::RequestsHandedOver, {}, requests);
 }
 
-void Metrics::setFrom(const InstanceStatus &status)
+void Metrics::updateFrom(const InstanceStatus &status)
 {
     setSettingsVersion(status.settingsVersion);
     setStewardLease(status.isSteward);
--- a/src/snipestall/admin/metrics_test.cpp
+++ b/src/snipestall/admin/metrics_test.cpp
@@ -23,7 +23,7 @@
     return prometheus::TextSerializer().Serialize(metrics.registry()->Collect());
 }
 
-TEST(MetricsTest, NamesFollowTheConventions)
+TEST(MetricsTest, NamesFollowPrometheusConventions)
 {
     for (const MetricInfo &row : metricTable()) {
         EXPECT_TRUE(prometheus::CheckMetricName(std::string(row.name))) << row.name;
@@ -38,7 +38,7 @@
     metrics->requestEnded(RequestClass::Short, RequestOutcome::Completed);
     metrics->requestEnded(RequestClass::Short, RequestOutcome::Completed);
     metrics->requestEnded(RequestClass::Plain, RequestOutcome::NotRun);
-    metrics->firstToken(RequestClass::Long, std::chrono::milliseconds(1100));
+    metrics->observeFirstToken(RequestClass::Long, std::chrono::milliseconds(1100));
     metrics->setSlots("language", 16, 3);
     metrics->setSettingsVersion(12);
     const std::string text = textOf(*metrics);
@@ -54,19 +54,19 @@
     EXPECT_THAT(text, HasSubstr("snipestall_settings_version 12"));
 }
 
-TEST(MetricsTest, SlotsOfAServiceWithoutServersFallToZero)
+TEST(MetricsTest, SlotsOfAServiceWithoutServersBecomeZero)
 {
     const auto metrics = Metrics::create();
     InstanceStatus status;
     status.backendServers.push_back({ "engine-1", "language", "spot", "up", 8, 2 });
-    metrics->setFrom(status);
+    metrics->updateFrom(status);
     EXPECT_THAT(textOf(*metrics), HasSubstr("snipestall_slots{service=\"language\"} 8"));
     status.backendServers.clear();
-    metrics->setFrom(status);
+    metrics->updateFrom(status);
     EXPECT_THAT(textOf(*metrics), HasSubstr("snipestall_slots{service=\"language\"} 0"));
 }
 
-TEST(MetricsTest, TheCommittedPageIsTheGeneratedOne)
+TEST(MetricsTest, TheCommittedPageMatchesTheGeneratedOne)
 {
     std::ifstream file(SNIPESTALL_SOURCE_DIR "/docs/metrics.md");
     const std::string page { std::istreambuf_iterator<char>(file), {} };
--- a/src/snipestall/admin/operator_auth.cpp
+++ b/src/snipestall/admin/operator_auth.cpp
@@ -14,7 +14,7 @@
 namespace snipestall::admin {
 namespace {
 
-/// The key of "Authorization: Bearer KEY"; nothing if there is none.
+/// Returns the key of the header "Authorization: Bearer KEY"; nothing if there is no such header.
 std::optional<std::string> bearerKey(const wire::HttpRequest &request)
 {
     constexpr std::string_view Scheme = "Bearer ";
@@ -35,10 +35,11 @@
     , m_bootstrapKeyHash(std::move(bootstrapKeyHash))
 { }
 
-// An instance that has just started knows no settings yet, although there are some. If it took the
-// bootstrap key then, that key, meant for the first minute, would open every restarted instance for
-// ever. So the table is asked first, and without its answer nobody is let in.
-wire::Task<Result<bool>> OperatorAuth::haveSettings()
+// An instance that has just started has no settings in force yet, although some may exist in the
+// table. If it accepted the bootstrap key then, that key, which is meant only for the first change,
+// would be accepted by every restarted instance for ever. The table is therefore read first, and
+// while it does not answer no key is accepted.
+wire::Task<Result<bool>> OperatorAuth::settingsExist()
 {
     if (m_keeper.effective())
         co_return true;
@@ -46,7 +47,7 @@
     if (!head)
         co_return fail(ErrorKind::Unavailable,
                        "this instance has no settings yet and can't read the platform's table to "
-                       "check your key; try again or ask another instance");
+                       "check the key; try again or send the request to another instance");
     if (head->version == 0)
         co_return false;
     m_keeper.offer(*head);
@@ -54,16 +55,16 @@
         co_return true;
     co_return fail(ErrorKind::Unavailable,
                    "the settings in the table could not be put in force here; see event 201 in "
-                   "this instance's log, or ask another instance");
+                   "this instance's log, or send the request to another instance");
 }
 
-wire::Task<Result<std::string>> OperatorAuth::operatorOf(const wire::HttpRequest &request)
+wire::Task<Result<std::string>> OperatorAuth::authenticate(const wire::HttpRequest &request)
 {
     const auto key = bearerKey(request);
     if (!key)
         co_return fail(ErrorKind::Unauthenticated,
-                       "give an operator's key: Authorization: Bearer KEY");
-    const auto configured = co_await haveSettings();
+                       "send an operator's key in the header Authorization: Bearer KEY");
+    const auto configured = co_await settingsExist();
     if (!configured)
         co_return tl::unexpected<Error>(configured.error());
     if (!*configured && settings::keyHasHash(*key, m_bootstrapKeyHash))
@@ -73,10 +74,10 @@
             co_return std::move(*name);
     }
     co_return fail(ErrorKind::Unauthenticated,
-                   *configured ? "no operator has this key; ask one whose key is accepted to add "
-                                 "its hash under operators/NAME/key_hashes"
+                   *configured ? "no operator has this key; an operator whose key is accepted can "
+                                 "add its hash under operators/NAME/key_hashes"
                                : "there are no settings yet; use the bootstrap key whose hash "
-                                 "stands in the instance's local settings");
+                                 "is in the instance's local settings");
 }
 
 } // namespace snipestall::admin
--- a/src/snipestall/admin/operator_auth.hpp
+++ b/src/snipestall/admin/operator_auth.hpp
@@ -15,26 +15,29 @@
 
 namespace snipestall::admin {
 
-/// Who is asking. While there are no settings at all, the bootstrap key speaks as "bootstrap".
+/// Authenticates operators by their bearer keys. While no settings exist at all, the bootstrap key
+/// is accepted under the operator name "bootstrap".
 class OperatorAuth
 {
 public:
     OperatorAuth(peer::SettingsStore &store, peer::SettingsKeeper &keeper,
                  std::string bootstrapKeyHash);
 
-    /// The operator's name. Unauthenticated, or Unavailable when this instance has no settings yet
-    /// and can't find out whether there are any.
-    wire::Task<Result<std::string>> operatorOf(const wire::HttpRequest &request);
+    /// Returns the name of the operator whose key the request carries. Fails with Unauthenticated
+    /// if there is none, and with Unavailable if this instance has no settings in force and can't
+    /// read from the table whether any exist, or can't put them in force.
+    wire::Task<Result<std::string>> authenticate(const wire::HttpRequest &request);
 
 private:
-    wire::Task<Result<bool>> haveSettings();
+    /// Whether any settings exist; those of the table are first put in force here.
+    wire::Task<Result<bool>> settingsExist();
 
     peer::SettingsStore &m_store;
     peer::SettingsKeeper &m_keeper;
     std::string m_bootstrapKeyHash;
 };
 
-/// The name under which the bootstrap key's change stands in the audit trail.
+/// Operator name of the bootstrap key in the audit trail.
 inline constexpr const char *BootstrapOperator = "bootstrap";
 
 } // namespace snipestall::admin
--- a/src/snipestall/admin/reply.cpp
+++ b/src/snipestall/admin/reply.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-int statusOf(ErrorKind kind)
+int httpStatusOf(ErrorKind kind)
 {
     for (const StatusOfKind &entry : Statuses) {
         if (entry.kind == kind)
@@ -41,7 +41,8 @@
 wire::HttpResponse refusal(const RefusalMessage &message)
 {
     constexpr int UnprocessableContent = 422;
-    const int status = message.faults.empty() ? statusOf(message.error.kind) : UnprocessableContent;
+    const int status =
+        message.faults.empty() ? httpStatusOf(message.error.kind) : UnprocessableContent;
     wire::HttpResponse response = wire::HttpResponse::json(status, encodeRefusal(message));
     if (message.error.kind == ErrorKind::Unauthenticated)
         response.fields.set("WWW-Authenticate", "Bearer");
--- a/src/snipestall/admin/reply.hpp
+++ b/src/snipestall/admin/reply.hpp
@@ -7,10 +7,11 @@
 
 struct RefusalMessage;
 
-/// HTTP status of a kind of error on the operators' API.
-int statusOf(ErrorKind kind);
+/// Returns the HTTP status with which the operators' API reports a kind of error.
+int httpStatusOf(ErrorKind kind);
 
-/// The one JSON envelope for anything refused.
+/// Returns the answer to a refused request, in the JSON envelope that all refusals use. Its status
+/// is that of the error's kind, or 422 if the message lists faults of the settings.
 wire::HttpResponse refusal(const RefusalMessage &message);
 wire::HttpResponse refusal(const Error &error);
 
--- a/src/snipestall/admin/request_metrics.cpp
+++ b/src/snipestall/admin/request_metrics.cpp
@@ -65,15 +65,15 @@
 void RequestMetrics::began(const entry::RequestSpec &spec, std::chrono::nanoseconds sinceArrival)
 {
     const RequestClass requestClass = classOf(spec);
-    m_metrics.firstToken(requestClass, sinceArrival);
-    m_metrics.tokensGenerated(requestClass, 1);
+    m_metrics.observeFirstToken(requestClass, sinceArrival);
+    m_metrics.addTokensGenerated(requestClass, 1);
 }
 
 void RequestMetrics::wentOn(const entry::RequestSpec &spec, std::chrono::nanoseconds sinceLastPiece)
 {
     const RequestClass requestClass = classOf(spec);
-    m_metrics.interToken(requestClass, sinceLastPiece);
-    m_metrics.tokensGenerated(requestClass, 1);
+    m_metrics.observeInterToken(requestClass, sinceLastPiece);
+    m_metrics.addTokensGenerated(requestClass, 1);
 }
 
 void RequestMetrics::ended(const entry::RequestSpec &spec, const entry::FinalAnswer &answer)
--- a/src/snipestall/admin/request_metrics_test.cpp
+++ b/src/snipestall/admin/request_metrics_test.cpp
@@ -71,9 +71,9 @@
     EXPECT_THAT(text(), Not(HasSubstr("deadlines_missed_total{")));
 }
 
-// A request that is run here for another home is counted at its home; counted here too, each
-// forwarded request would stand twice in the fleet's sums.
-TEST_F(RequestMetricsTest, WhatRunsForAnotherHomeIsNotCounted)
+// A request that runs here for another home is counted at its home. If it were counted here too,
+// the sums over all instances would count each forwarded request twice.
+TEST_F(RequestMetricsTest, RequestsOfAnotherHomeAreNotCounted)
 {
     const auto request = add(1000, true);
     request->append(0, "a");
--- a/src/snipestall/admin/time_text.cpp
+++ b/src/snipestall/admin/time_text.cpp
@@ -10,7 +10,7 @@
 namespace snipestall::admin {
 namespace {
 
-constexpr const char *Format = "%Y-%m-%dT%H:%M:%SZ";
+constexpr const char *TimestampFormat = "%Y-%m-%dT%H:%M:%SZ";
 
 struct Unit
 {
@@ -25,27 +25,27 @@
     Unit { "d", std::chrono::hours(24) },
 };
 
-std::optional<std::chrono::seconds> readAge(std::string_view text)
+std::optional<std::chrono::seconds> parseAge(std::string_view text)
 {
-    constexpr long Most = 1'000'000;
+    constexpr long MaxCount = 1'000'000;
     for (const Unit &unit : Units) {
         if (!text.ends_with(unit.suffix))
             continue;
         const char *end = text.data() + text.size() - unit.suffix.size();
         long count = 0;
         const auto [rest, error] = std::from_chars(text.data(), end, count);
-        if (error != std::errc {} || rest != end || count < 0 || count > Most)
+        if (error != std::errc {} || rest != end || count < 0 || count > MaxCount)
             return std::nullopt;
         return unit.length * count;
     }
     return std::nullopt;
 }
 
-std::optional<WallTime> readDate(std::string_view text)
+std::optional<WallTime> parseTimestamp(std::string_view text)
 {
     std::tm parts {};
     std::istringstream in { std::string(text) };
-    in >> std::get_time(&parts, Format);
+    in >> std::get_time(&parts, TimestampFormat);
     if (in.fail() || in.peek() != std::istringstream::traits_type::eof())
         return std::nullopt;
     return std::chrono::system_clock::from_time_t(timegm(&parts));
@@ -59,19 +59,20 @@
     std::tm parts {};
     gmtime_r(&seconds, &parts);
     std::ostringstream out;
-    out << std::put_time(&parts, Format);
+    out << std::put_time(&parts, TimestampFormat);
     return out.str();
 }
 
 Result<WallTime> parseTime(std::string_view text, WallTime now)
 {
-    if (const auto age = readAge(text))
+    if (const auto age = parseAge(text))
         return now - *age;
-    if (const auto date = readDate(text))
+    if (const auto date = parseTimestamp(text))
         return *date;
-    return fail(ErrorKind::InvalidArgument,
-                "'" + std::string(text)
-                    + "' is no time; write 2026-12-02T20:37:00Z or an age such as 15min, 2h, 7d");
+    return fail(
+        ErrorKind::InvalidArgument,
+        "'" + std::string(text)
+            + "' is not a time; write 2026-12-02T20:37:00Z or an age such as 15min, 2h, 7d");
 }
 
 } // namespace snipestall::admin
--- a/src/snipestall/platform/fake_table_service.hpp
+++ b/src/snipestall/platform/fake_table_service.hpp
@@ -16,44 +16,48 @@
 
 namespace snipestall::platform {
 
-/// The platform's table in memory, for tests, with its faults on command.
+/// In-memory table service for tests, which simulates faults of the platform's table on command.
 class FakeTableService final : public TableService
 {
 public:
     explicit FakeTableService(boost::asio::io_context &io)
-        : m_thaw(io, boost::asio::steady_timer::time_point::max())
+        : m_resumed(io, boost::asio::steady_timer::time_point::max())
     { }
 
-    /// Calls fail as Unavailable and have no effect.
+    /// While set, calls fail with Unavailable and have no effect.
     bool down = false;
-    /// The next so many transactions take effect and their answers are lost.
+    /// Number of following transactions that take effect, but whose answers are lost.
     int loseAnswers = 0;
-    /// The next so many transactions are lost before they take effect; their callers can't tell.
+    /// Number of following transactions that are lost before they take effect; their callers can't
+    /// tell that they had no effect.
     int loseRequests = 0;
-    /// Called at the start of each transaction and read: lets a test act at that very moment.
+    /// Called at the start of each transaction and read, so that a test can act at that moment.
     std::function<void()> beforeCall;
-    /// Called after a transaction has taken effect and before its answer goes back.
+    /// Called after a transaction has taken effect and before its answer is returned.
     std::function<void()> beforeAnswer;
-    /// A transaction delivered late, as by a slow network: held here until deliverLate().
+    /// Number of following transactions that are delivered late, as by a slow network: they fail
+    /// with DeadlineExceeded and take effect in applyHeldRequests().
     int holdRequests = 0;
 
     int transactions = 0;
     int reads = 0;
     std::map<RowKey, Row> rows;
 
-    /// Transactions take effect, and then nobody answers until thaw().
-    void freeze() { m_frozen = true; }
+    /// Withholds the answers of transactions, which still take effect, and of reads, until
+    /// resumeAnswers() is called.
+    void freeze() { m_isPaused = true; }
     void thaw()
     {
-        m_frozen = false;
-        m_thaw.cancel();
+        m_isPaused = false;
+        m_resumed.cancel();
     }
 
-    /// Carries out what holdRequests held back, long after its caller gave up on the answer.
+    /// Applies the transactions held back by requestsToHold, after their callers have given up
+    /// waiting for the answers.
     void deliverLate()
     {
-        for (const Transaction &late : std::exchange(m_late, {}))
-            apply(late);
+        for (const Transaction &held : std::exchange(m_heldTransactions, {}))
+            apply(held);
     }
 
     wire::Task<Result<TransactionOutcome>> transact(Transaction transaction) override
@@ -65,7 +69,7 @@
             co_return fail(ErrorKind::Unavailable, "down; wait");
         if (holdRequests > 0) {
             --holdRequests;
-            m_late.push_back(std::move(transaction));
+            m_heldTransactions.push_back(std::move(transaction));
             co_return fail(ErrorKind::DeadlineExceeded, "slow; read back");
         }
         if (loseRequests > 0) {
@@ -75,7 +79,7 @@
         TransactionOutcome outcome = apply(transaction);
         if (beforeAnswer)
             beforeAnswer();
-        co_await whileFrozen();
+        co_await waitUntilResumed();
         if (loseAnswers > 0) {
             --loseAnswers;
             co_return fail(ErrorKind::OutcomeUnknown, "answer lost; read back");
@@ -90,7 +94,7 @@
             beforeCall();
         if (down)
             co_return fail(ErrorKind::Unavailable, "down; wait");
-        co_await whileFrozen();
+        co_await waitUntilResumed();
         std::vector<Row> found;
         for (const RowKey &key : keys) {
             const auto row = rows.find(key);
@@ -115,6 +119,7 @@
         co_return found;
     }
 
+    /// Applies a transaction at once, without simulated faults.
     TransactionOutcome apply(const Transaction &transaction)
     {
         TransactionOutcome outcome;
@@ -136,6 +141,7 @@
         return outcome;
     }
 
+    /// Number of rows in a table.
     [[nodiscard]] std::size_t rowsIn(const std::string &table) const
     {
         std::size_t count = 0;
@@ -145,16 +151,16 @@
     }
 
 private:
-    wire::Task<void> whileFrozen()
+    wire::Task<void> waitUntilResumed()
     {
-        while (m_frozen)
-            co_await m_thaw.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
+        while (m_isPaused)
+            co_await m_resumed.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
     }
 
-    bool m_frozen = false;
+    bool m_isPaused = false;
     std::uint64_t m_lastVersion = 0;
-    std::vector<Transaction> m_late;
-    boost::asio::steady_timer m_thaw;
+    std::vector<Transaction> m_heldTransactions;
+    boost::asio::steady_timer m_resumed;
 };
 
 } // namespace snipestall::platform
--- a/src/snipestall/platform/http_platform.cpp
+++ b/src/snipestall/platform/http_platform.cpp
@@ -1,7 +1,7 @@
 #include "snipestall/platform/http_platform.hpp"
 
 #include "snipestall/base/clock.hpp"
-#include "snipestall/platform/circuit.hpp"
+#include "snipestall/platform/circuit_breaker.hpp"
 #include "snipestall/platform/platform_json.hpp"
 #include "snipestall/wire/http_client.hpp"
 
@@ -42,25 +42,28 @@
     return request;
 }
 
-/// What a status other than success lets the caller conclude about an effect.
-tl::unexpected<Error> refused(const HttpResponse &response)
+/// Converts a status other than success to an error whose kind tells whether the call may have had
+/// an effect.
+tl::unexpected<Error> errorOf(const HttpResponse &response)
 {
     const std::string status = std::to_string(response.status);
     if (response.status == NotFoundStatus)
-        return fail(ErrorKind::NotFound, "the platform has no such thing; check the name");
+        return fail(ErrorKind::NotFound, "the platform has nothing of this name; check the name");
     if (response.status == ConflictStatus)
-        return fail(ErrorKind::Conflict,
-                    "the platform has seen a greater fencing number; another steward gives orders");
+        return fail(
+            ErrorKind::Conflict,
+            "the platform has received a greater fencing token; another steward holds the lease");
     if (response.status == TooManyRequests)
-        return fail(ErrorKind::Exhausted, "the platform refuses for now; come back later");
+        return fail(ErrorKind::Exhausted, "the platform refuses the call for now; try again later");
     if (response.status >= ServerErrors)
         return fail(ErrorKind::OutcomeUnknown,
-                    "the platform answered " + status + "; read back whether it took effect");
+                    "the platform answered " + status + "; read back whether the call took effect");
     return fail(ErrorKind::InvalidArgument,
                 "the platform answered " + status + "; check that both speak the same protocol");
 }
 
-/// A call that changes nothing can't have had an effect, however it failed.
+/// Returns the error of a call that changes nothing: it can't have had an effect, however it
+/// failed, so an unknown outcome becomes Unavailable.
 Error withoutEffect(Error error)
 {
     if (error.kind == ErrorKind::OutcomeUnknown || error.kind == ErrorKind::DeadlineExceeded)
@@ -78,37 +81,37 @@
 
 struct HttpPlatform::State
 {
-    State(boost::asio::io_context &io, wire::Endpoint where, const Clock &source,
-          HttpPlatformOptions chosen)
+    State(boost::asio::io_context &io, wire::Endpoint platformEndpoint, const Clock &systemClock,
+          HttpPlatformOptions platformOptions)
         : client(io)
-        , endpoint(std::move(where))
-        , clock(source)
-        , options(chosen)
-        , table("table", chosen.circuit, chosen.seed)
-        , objects("objects", chosen.circuit, chosen.seed + 1)
-        , cloud("cloud", chosen.circuit, chosen.seed + 2)
+        , endpoint(std::move(platformEndpoint))
+        , clock(systemClock)
+        , options(platformOptions)
+        , table("table", platformOptions.circuit, platformOptions.seed)
+        , objects("objects", platformOptions.circuit, platformOptions.seed + 1)
+        , cloud("cloud", platformOptions.circuit, platformOptions.seed + 2)
     { }
 
-    /// One call through a circuit; success is a 2xx status.
-    Task<Result<HttpResponse>> call(Circuit &circuit, HttpRequest request);
+    /// Makes one call through a circuit breaker. Statuses other than 200 and 204 become errors.
+    Task<Result<HttpResponse>> call(CircuitBreaker &circuit, HttpRequest request);
 
     wire::HttpClient client;
     wire::Endpoint endpoint;
     const Clock &clock;
     HttpPlatformOptions options;
-    Circuit table;
-    Circuit objects;
-    Circuit cloud;
+    CircuitBreaker table;
+    CircuitBreaker objects;
+    CircuitBreaker cloud;
     PlatformCounters counters;
 };
 
-Task<Result<HttpResponse>> HttpPlatform::State::call(Circuit &circuit, HttpRequest request)
+Task<Result<HttpResponse>> HttpPlatform::State::call(CircuitBreaker &circuit, HttpRequest request)
 {
     const auto ticket = circuit.admit(clock.steadyNow());
     if (!ticket) {
         ++counters.refusedLocally;
         co_return fail(ErrorKind::Unavailable,
-                       "the platform does not answer; come back when it has recovered");
+                       "the platform does not answer; try again when it has recovered");
     }
     ++counters.calls;
     counters.bytesOut += request.body.size();
@@ -120,14 +123,14 @@
     if (response) {
         counters.bytesIn += response->body.size();
         if (response->status != Ok && response->status != NoContent)
-            response = refused(*response);
+            response = errorOf(*response);
     }
-    const bool outage = !response && isOutage(response.error().kind);
-    if (outage) {
+    const bool isOutageError = !response && isOutage(response.error().kind);
+    if (isOutageError) {
         ++counters.failures;
-        circuit.failed(*ticket, clock.steadyNow(), response.error().message);
+        circuit.recordFailure(*ticket, clock.steadyNow(), response.error().message);
     } else {
-        circuit.succeeded(*ticket);
+        circuit.recordSuccess(*ticket);
     }
     co_return response;
 }
@@ -148,7 +151,7 @@
 
 bool HttpPlatform::tableAvailable() const
 {
-    return m_state->table.answering();
+    return m_state->table.isAvailable();
 }
 
 PlatformCounters HttpPlatform::counters() const
@@ -165,13 +168,13 @@
     const auto response = co_await state->call(state->table, std::move(request));
     if (!response) {
         Error error = response.error();
-        // A throttled transaction was turned away before it ran.
+        // A throttled transaction was refused before it ran, so it had no effect.
         if (error.kind == ErrorKind::Exhausted)
             error.kind = ErrorKind::Unavailable;
         co_return tl::unexpected<Error>(std::move(error));
     }
     auto outcome = decodeTransactionOutcome(response->body);
-    // An answer that can't be read does not say that the transaction failed.
+    // An answer that can't be parsed does not prove that the transaction failed.
     if (!outcome)
         outcome.error().kind = ErrorKind::OutcomeUnknown;
     co_return outcome;
@@ -245,10 +248,10 @@
     co_return decodeStarted(response->body);
 }
 
-Task<Result<void>> HttpPlatform::release(std::string instance, std::uint64_t fencing)
+Task<Result<void>> HttpPlatform::release(std::string instance, std::uint64_t fencingToken)
 {
     const auto state = m_state;
-    HttpRequest request = post("/cloud/release", encodeRelease(instance, fencing));
+    HttpRequest request = post("/cloud/release", encodeRelease(instance, fencingToken));
     const auto response = co_await state->call(state->cloud, std::move(request));
     if (!response)
         co_return tl::unexpected<Error>(response.error());
--- a/src/snipestall/platform/http_platform_test.cpp
+++ b/src/snipestall/platform/http_platform_test.cpp
@@ -21,7 +21,8 @@
 using wire::HttpResponse;
 using wire::Task;
 
-/// A platform whose every answer the test chooses; no answer cuts the connection.
+/// A platform server whose answers the test provides; if the test provides none, the connection is
+/// closed.
 class HttpPlatformTest : public testing::Test
 {
 protected:
@@ -70,12 +71,12 @@
     return { { { { "t", key }, 0 } }, { { { "t", key }, "v" }, { { "t", "old" }, std::nullopt } } };
 }
 
-std::optional<HttpResponse> cut(const HttpRequest &)
+std::optional<HttpResponse> closeConnection(const HttpRequest &)
 {
     return std::nullopt;
 }
 
-TEST_F(HttpPlatformTest, SpeaksTheTablesProtocol)
+TEST_F(HttpPlatformTest, FollowsTheTablesProtocol)
 {
     listen([](const HttpRequest &) {
         return HttpResponse::json(200,
@@ -113,18 +114,20 @@
     EXPECT_EQ(listed->front().instanceClass, "spot-small");
 }
 
-// The table's answer is cut after the write. Reported as Unavailable, the caller would take the
-// write for not made; a read has no effect to be unsure of.
-TEST_F(HttpPlatformTest, ACutAnswerLeavesAWriteUnknownAndAReadUnavailable)
+// The connection is closed after the table has received a write and before it answers. If this were
+// reported as Unavailable, the caller would assume that the write was not made. A read has no
+// effect, so it may be reported as Unavailable.
+TEST_F(HttpPlatformTest, AClosedConnectionLeavesAWriteUnknownAndAReadUnavailable)
 {
-    listen(cut);
+    listen(closeConnection);
     EXPECT_EQ(run(m_platform->transact(insert("k"))).error().kind, ErrorKind::OutcomeUnknown);
     std::vector<RowKey> keys { { "t", "k" } };
     EXPECT_EQ(run(m_platform->read(keys)).error().kind, ErrorKind::Unavailable);
 }
 
-// An answer that breaks the protocol, or a 500, does not say that the write did not happen.
-TEST_F(HttpPlatformTest, AnAnswerThatSaysNothingLeavesAWriteUnknown)
+// An answer that does not follow the protocol, or a status 500, does not prove that the write had
+// no effect.
+TEST_F(HttpPlatformTest, AnInvalidAnswerLeavesAWriteUnknown)
 {
     HttpResponse response = HttpResponse::json(200, "{}");
     listen([&](const HttpRequest &) { return response; });
@@ -135,11 +138,12 @@
     EXPECT_EQ(run(m_platform->transact(insert("k"))).error().kind, ErrorKind::Unavailable);
 }
 
-// In a long outage each call would wait out its timeout, and all would come at once at the end.
-// After three failures calls fail at once, without a connection being opened.
+// In a long outage each call would wait for its timeout, and all waiting calls would arrive
+// together when the platform recovers. After three failures, calls must fail at once without
+// opening a connection.
 TEST_F(HttpPlatformTest, AnOutageOpensTheTablesCircuitAndNoOther)
 {
-    listen(cut);
+    listen(closeConnection);
     for (int i = 0; i < 10; ++i)
         run(m_platform->transact(insert("k")));
     EXPECT_EQ(m_calls, 3);
@@ -154,7 +158,7 @@
     EXPECT_TRUE(m_platform->tableAvailable());
 }
 
-TEST_F(HttpPlatformTest, OrdersMapTheCloudsRefusals)
+TEST_F(HttpPlatformTest, TheCloudsRefusalsBecomeErrorsOfOrders)
 {
     HttpResponse response = HttpResponse::json(429, "{}");
     listen([&](const HttpRequest &) { return response; });
@@ -170,7 +174,7 @@
     EXPECT_TRUE(run(m_platform->release("w7", 3)).has_value());
 }
 
-TEST_F(HttpPlatformTest, ObjectsArePutAndGotByName)
+TEST_F(HttpPlatformTest, ObjectsAreWrittenAndReadByName)
 {
     HttpResponse response;
     response.status = 204;
--- a/src/snipestall/platform/platform_json.cpp
+++ b/src/snipestall/platform/platform_json.cpp
@@ -15,7 +15,7 @@
     return { { "table", key.table }, { "key", key.key } };
 }
 
-std::string textOf(const json::object &object, std::string_view name)
+std::string requiredText(const json::object &object, std::string_view name)
 {
     return std::string(json::value_to<std::string>(object.at(name)));
 }
@@ -32,58 +32,59 @@
     return found == nullptr || found->is_null() ? 0 : found->to_number<std::uint64_t>();
 }
 
-bool flagOf(const json::object &object, std::string_view name)
+bool flagOrFalse(const json::object &object, std::string_view name)
 {
     const auto *found = object.if_contains(name);
     return found != nullptr && found->is_bool() && found->as_bool();
 }
 
-Row rowOf(const json::object &object)
+Row parseRow(const json::object &object)
 {
     Row row;
-    row.key = { textOf(object, "table"), textOf(object, "key") };
+    row.key = { requiredText(object, "table"), requiredText(object, "key") };
     row.value = textOrEmpty(object, "value");
     row.version = numberOrZero(object, "version");
     return row;
 }
 
-std::vector<Row> rowsOf(const json::value &list)
+std::vector<Row> parseRows(const json::value &list)
 {
     std::vector<Row> rows;
     for (const json::value &item : list.as_array())
-        rows.push_back(rowOf(item.as_object()));
+        rows.push_back(parseRow(item.as_object()));
     return rows;
 }
 
-ListedInstance instanceOf(const json::object &object)
+ListedInstance parseInstance(const json::object &object)
 {
     ListedInstance instance;
-    instance.name = textOf(object, "name");
+    instance.name = requiredText(object, "name");
     instance.incarnation = numberOrZero(object, "incarnation");
     const bool entry = textOrEmpty(object, "role") == "entry";
     instance.role = entry ? InstanceRole::Entry : InstanceRole::Backend;
-    instance.address = textOf(object, "address");
+    instance.address = requiredText(object, "address");
     instance.dataCentre = textOrEmpty(object, "data_centre");
     instance.service = textOrEmpty(object, "service");
     instance.instanceClass = textOrEmpty(object, "class");
-    instance.leaving = flagOf(object, "leaving");
+    instance.leaving = flagOrFalse(object, "leaving");
     const auto *notice = object.if_contains("notice_ms");
     if (notice != nullptr && notice->is_number())
         instance.noticeLeft = std::chrono::milliseconds(notice->to_number<std::int64_t>());
     return instance;
 }
 
-/// Runs a decoder over parsed text; an answer that breaks the protocol becomes an Error.
+/// Parses `text` and applies `decoder`; an answer that does not follow the protocol becomes an
+/// Error.
 template<typename T, typename Decoder>
 Result<T> decode(const std::string &text, Decoder decoder)
 {
     try {
         const json::value parsed = json::parse(text);
         return decoder(parsed.as_object());
-    } catch (const std::exception &broken) {
+    } catch (const std::exception &exception) {
         return fail(ErrorKind::Internal,
-                    std::string("the platform's answer breaks its protocol: ") + broken.what()
-                        + "; check which version of the platform answers");
+                    std::string("the platform's answer does not follow its protocol: ")
+                        + exception.what() + "; check the version of the platform");
     }
 }
 
@@ -142,11 +143,11 @@
     return json::serialize(body);
 }
 
-std::string encodeRelease(std::string_view instance, std::uint64_t fencing)
+std::string encodeRelease(std::string_view instance, std::uint64_t fencingToken)
 {
     json::object body;
     body["instance"] = instance;
-    body["fencing"] = fencing;
+    body["fencing"] = fencingToken;
     return json::serialize(body);
 }
 
@@ -157,7 +158,7 @@
         outcome.committed = answer.at("committed").as_bool();
         const auto *conflicts = answer.if_contains("conflicts");
         if (conflicts != nullptr && conflicts->is_array())
-            outcome.conflicts = rowsOf(*conflicts);
+            outcome.conflicts = parseRows(*conflicts);
         return outcome;
     });
 }
@@ -165,7 +166,7 @@
 Result<std::vector<Row>> decodeRows(const std::string &text)
 {
     return decode<std::vector<Row>>(
-        text, [](const json::object &answer) { return rowsOf(answer.at("rows")); });
+        text, [](const json::object &answer) { return parseRows(answer.at("rows")); });
 }
 
 Result<std::vector<ListedInstance>> decodeInstances(const std::string &text)
@@ -173,7 +174,7 @@
     return decode<std::vector<ListedInstance>>(text, [](const json::object &answer) {
         std::vector<ListedInstance> instances;
         for (const json::value &item : answer.at("instances").as_array())
-            instances.push_back(instanceOf(item.as_object()));
+            instances.push_back(parseInstance(item.as_object()));
         return instances;
     });
 }
@@ -181,7 +182,7 @@
 Result<std::string> decodeStarted(const std::string &text)
 {
     return decode<std::string>(
-        text, [](const json::object &answer) { return textOf(answer, "instance"); });
+        text, [](const json::object &answer) { return requiredText(answer, "instance"); });
 }
 
 } // namespace snipestall::platform
--- a/src/snipestall/platform/platform_json.hpp
+++ b/src/snipestall/platform/platform_json.hpp
@@ -12,15 +12,16 @@
 
 namespace snipestall::platform {
 
-// Bodies of the platform's protocol; docs/design/standin-protocols.md lists them.
+// Encodes the bodies of the platform's protocol, which docs/design/standin-protocols.md describes.
 std::string encodeTransaction(const Transaction &transaction);
 std::string encodeRead(const std::vector<RowKey> &keys);
 std::string encodeScan(std::string_view table, std::string_view prefix, std::string_view after,
                        std::size_t limit);
 std::string encodeStart(const StartOrder &order);
-std::string encodeRelease(std::string_view instance, std::uint64_t fencing);
+std::string encodeRelease(std::string_view instance, std::uint64_t fencingToken);
 
-// Internal if the text is not what the protocol says.
+// Decodes the bodies of answers. Each function fails with Internal if the text does not follow the
+// protocol.
 Result<TransactionOutcome> decodeTransactionOutcome(const std::string &text);
 Result<std::vector<Row>> decodeRows(const std::string &text);
 Result<std::vector<ListedInstance>> decodeInstances(const std::string &text);
--- a/src/snipestall/platform/run_task.hpp
+++ b/src/snipestall/platform/run_task.hpp
@@ -12,33 +12,34 @@
 
 namespace snipestall::platform {
 
-/// A result that a task of a test fills in.
+/// The result of a task that a test has started; empty until the task ends.
 template<typename T>
 using Slot = std::shared_ptr<std::optional<T>>;
 
 template<typename T>
-wire::Task<void> fillSlot(wire::Task<T> task, Slot<T> slot)
+wire::Task<void> storeResult(wire::Task<T> task, Slot<T> slot)
 {
     slot->emplace(co_await std::move(task));
 }
 
-/// Starts a task; its result is there once the loop has run far enough.
+/// Starts a task. The returned object holds the result once the event loop has run the task to its
+/// end.
 template<typename T>
 Slot<T> startTask(boost::asio::io_context &io, wire::Task<T> task)
 {
     auto slot = std::make_shared<std::optional<T>>();
-    boost::asio::co_spawn(io, fillSlot(std::move(task), slot), boost::asio::detached);
+    boost::asio::co_spawn(io, storeResult(std::move(task), slot), boost::asio::detached);
     return slot;
 }
 
-/// Runs the loop until nothing is left to do.
+/// Runs the event loop until it has no work left.
 inline void drain(boost::asio::io_context &io)
 {
     io.restart();
     io.run();
 }
 
-/// Runs the loop until `done()` holds or nothing is left to do.
+/// Runs the event loop until `done()` returns true or it has no work left.
 template<typename Done>
 void runUntil(boost::asio::io_context &io, Done done)
 {
@@ -46,7 +47,7 @@
     while (!done() && io.run_one() > 0) { }
 }
 
-/// Runs a task to its end, and whatever else the loop has to do.
+/// Runs the event loop until it has no work left, and returns the task's result.
 template<typename T>
 T runTask(boost::asio::io_context &io, wire::Task<T> task)
 {
