--- a/include/snipestall/settings/class_settings.hpp
+++ b/include/snipestall/settings/class_settings.hpp
@@ -4,15 +4,16 @@
 
 namespace snipestall::settings {
 
-/// One instance class that the cloud API sells in one data centre.
+/// One instance class that the cloud API offers in one data centre.
 struct ClassSettings
 {
     std::string dataCentre;
     std::string name;
+    /// Whether the cloud provider may reclaim instances of this class.
     bool reclaimable = true;
-    /// Price in units of account per instance-hour.
+    /// Price of one instance, in units of account per hour.
     double pricePerHour = 1.0;
-    /// Expected reclaims per instance-hour.
+    /// Expected reclaims of one instance per hour.
     double reclaimsPerHour = 0.0;
 };
 
--- a/include/snipestall/settings/document.hpp
+++ b/include/snipestall/settings/document.hpp
@@ -11,17 +11,18 @@
 
 namespace snipestall::settings {
 
-/// A settings document taken apart: every value that is written in it, by path, and every named
-/// thing (customer, data centre, service...), with or without values of its own.
+/// A parsed settings document: every value that is written in it, by path, and the path of every
+/// entity (customer, data centre, service...), with or without values of its own.
 struct Document
 {
     std::map<std::string, Value, std::less<>> values;
     std::set<std::string, std::less<>> entities;
 
-    /// Null where the document says nothing.
+    /// The value at a path; null if the document sets none.
     [[nodiscard]] const Value *find(std::string_view path) const;
+    /// Whether the document contains an entity with this path.
     [[nodiscard]] bool has(std::string_view entity) const;
-    /// Names of the things right under a section, such as "customers", in order.
+    /// Names of the entities directly under a section, such as "customers", in byte order.
     [[nodiscard]] std::vector<std::string> names(std::string_view section) const;
 };
 
--- a/include/snipestall/settings/edit.hpp
+++ b/include/snipestall/settings/edit.hpp
@@ -5,7 +5,8 @@
 
 namespace snipestall::settings {
 
-/// One change of one path; no value takes the override away, so that the level above shows again.
+/// One change of one path. Without a value, the edit removes the override, so that the value of the
+/// level above is in force again.
 struct Edit
 {
     std::string path;
--- a/include/snipestall/settings/effective_settings.hpp
+++ b/include/snipestall/settings/effective_settings.hpp
@@ -13,8 +13,8 @@
 
 namespace snipestall::settings {
 
-/// One version of the settings tree as one data centre sees it: plain values, nothing left to
-/// resolve. Immutable once built; replaced as a whole by a newer version.
+/// One version of the settings tree, resolved for one data centre: inheritance and shares are
+/// already applied. Immutable once built; a newer version replaces it as a whole.
 struct EffectiveSettings
 {
     std::uint64_t version = 0;
@@ -22,13 +22,16 @@
     std::vector<ServiceSettings> services;
     std::vector<LeafSettings> leaves;
     std::vector<ClassSettings> classes;
-    /// SHA-256 in lower-case hex of a caller's bearer key -> customer.
+    /// Customer by the SHA-256 of a caller's bearer key, in lower-case hex.
     std::map<std::string, std::string, std::less<>> customerByKeyHash;
-    /// SHA-256 in lower-case hex of an operator's bearer key -> operator's name.
+    /// Operator's name by the SHA-256 of the operator's bearer key, in lower-case hex.
     std::map<std::string, std::string, std::less<>> operatorByKeyHash;
 
+    /// Null if no such service exists.
     [[nodiscard]] const ServiceSettings *service(std::string_view name) const;
+    /// The service that offers a model; null if none does.
     [[nodiscard]] const ServiceSettings *serviceOfModel(std::string_view model) const;
+    /// Null if the customer may not use a service of this name.
     [[nodiscard]] const LeafSettings *leaf(std::string_view customer, std::string_view name) const;
 };
 
--- a/include/snipestall/settings/explain_effective.hpp
+++ b/include/snipestall/settings/explain_effective.hpp
@@ -9,7 +9,7 @@
 
 class Tree;
 
-/// Which part of a data centre's view is asked for; empty names stand for all.
+/// Selects a part of a data centre's effective settings. An empty customer or service selects all.
 struct EffectiveQuery
 {
     std::string dataCentre;
@@ -17,9 +17,9 @@
     std::string service;
 };
 
-/// Every value in force with the level that it comes from: the services, the classes, and each
-/// customer's use of each service. `local/...` are this data centre's parts of the limits.
-/// Empty if no such data centre, customer or service is in the tree.
+/// Every value in force with the level that it comes from: those of the services, of the instance
+/// classes and of each customer's use of each service. Keys with `local/` hold this data centre's
+/// part of the limits. Empty if the tree has no such data centre, customer or service.
 std::vector<ResolvedValue> explainEffective(const Tree &tree, const EffectiveQuery &query);
 
 } // namespace snipestall::settings
--- a/include/snipestall/settings/fault.hpp
+++ b/include/snipestall/settings/fault.hpp
@@ -4,12 +4,14 @@
 
 namespace snipestall::settings {
 
-/// One thing wrong with a settings document.
+/// One error in a settings document.
 struct Fault
 {
     /// Slash-separated path in the document, such as "customers/kiyi/limits/concurrency".
     std::string path;
+    /// What the document holds at the path, in words.
     std::string found;
+    /// What may stand there, in words.
     std::string allowed;
 };
 
--- a/include/snipestall/settings/resolved_value.hpp
+++ b/include/snipestall/settings/resolved_value.hpp
@@ -6,13 +6,13 @@
 
 namespace snipestall::settings {
 
-/// A value in force and where it comes from.
+/// A value in force and the section that it comes from.
 struct ResolvedValue
 {
-    /// Path under the section, such as "latency/first_token".
+    /// Path of the value, such as "latency/first_token".
     std::string key;
     Value value;
-    /// The section that says it, such as "customers/kiyi", or "default".
+    /// Path of the section that sets the value, such as "customers/kiyi", or "default".
     std::string from;
 };
 
--- a/include/snipestall/settings/schema.hpp
+++ b/include/snipestall/settings/schema.hpp
@@ -8,13 +8,13 @@
 
 namespace snipestall::settings {
 
-/// Every setting. Checking, `snipestallctl explain` and docs/settings.md all come from this table.
+/// Every setting. Validation, `snipestallctl explain` and docs/settings.md all use this table.
 std::span<const SettingInfo> schema();
 
-/// The row of a key in a kind of section; null if there is none.
-const SettingInfo *findSetting(Place place, std::string_view key);
+/// The setting with a key in a kind of section; null if there is none.
+const SettingInfo *findSetting(Scope scope, std::string_view key);
 
-/// Pattern of a setting's path, such as "customers/*/weight".
-std::string patternOf(const SettingInfo &setting, Place place);
+/// Pattern of a setting's path in a kind of section, such as "customers/*/weight".
+std::string patternOf(const SettingInfo &setting, Scope scope);
 
 } // namespace snipestall::settings
--- a/include/snipestall/settings/service_kind.hpp
+++ b/include/snipestall/settings/service_kind.hpp
@@ -3,9 +3,9 @@
 namespace snipestall::settings {
 
 enum class ServiceKind {
-    /// A pool of model engines that stream tokens.
+    /// A pool of backend servers that run a model and stream tokens.
     Model,
-    /// A plain request/answer service.
+    /// A request/response service without a model.
     Plain,
 };
 
--- a/include/snipestall/settings/service_settings.hpp
+++ b/include/snipestall/settings/service_settings.hpp
@@ -9,25 +9,27 @@
 
 namespace snipestall::settings {
 
-/// What one service is, the same for all its customers.
+/// Settings of one service in one data centre, the same for all the service's customers.
 struct ServiceSettings
 {
     std::string service;
     ServiceKind kind = ServiceKind::Model;
-    /// Model names that callers may ask for; empty for a plain service.
+    /// Names that callers may give as the model; empty for a plain service.
     std::vector<std::string> models;
-    /// Calls may be repeated unless the caller says otherwise.
+    /// Whether calls may be repeated unless the caller specifies otherwise.
     bool idempotent = true;
-    /// Its engines refuse orders that carry an old fencing number.
+    /// Whether the service's backend servers reject orders that carry an outdated fencing token.
     bool checksFencing = false;
-    /// Requests that one backend server runs side by side, before adaptation.
+    /// Requests that one backend server runs concurrently, before adaptation at run time.
     std::uint32_t slotsPerServer = 8;
-    /// Part of each pool's slots kept for short urgent work, 0 to 0.5.
+    /// Fraction of each pool's slots reserved for short urgent requests, 0 to 0.5.
     double urgentReserve = 0.15;
-    /// A request of at most this many tokens in all counts as short.
+    /// A request of at most this many prompt and output tokens counts as short.
     std::uint32_t shortTokens = 256;
+    /// Backend servers kept running and allowed at once in this data centre.
     std::uint32_t minServers = 1;
     std::uint32_t maxServers = 64;
+    /// Usual time from an order to start a backend server until the server accepts requests.
     std::chrono::milliseconds startTime { 30000 };
 };
 
--- a/include/snipestall/settings/tree.hpp
+++ b/include/snipestall/settings/tree.hpp
@@ -14,7 +14,7 @@
 
 struct Document;
 
-/// A checked settings document. Immutable; a change makes another Tree.
+/// A validated settings document. Immutable; a change creates another Tree.
 ///
 ///     auto tree = Tree::parse(yaml);
 ///     if (!tree) report(tree.error());
@@ -22,9 +22,10 @@
 class Tree
 {
 public:
-    /// Every fault in one go.
+    /// Reads and validates a YAML text. Reports all faults at once.
     static tl::expected<Tree, std::vector<Fault>> parse(std::string_view yaml);
-    /// Holds a document whose values are each allowed to what no single value shows.
+    /// Validates a document whose values are each within the schema: runs the checks that involve
+    /// several values.
     static tl::expected<Tree, std::vector<Fault>> check(Document document);
 
     Tree(const Tree &);
@@ -33,19 +34,20 @@
     Tree &operator=(Tree &&) noexcept;
     ~Tree();
 
-    /// Canonical text: the same content gives the same bytes. YAML, but not made to be read by
-    /// people; it is parsed some forty times as fast as other YAML.
+    /// Canonical YAML text: the same content gives the same bytes. It is not meant to be read by
+    /// people; parse() reads it about forty times as fast as other YAML.
     [[nodiscard]] std::string toYaml() const;
-    /// The same content in blocks, for people and files.
+    /// The same content as block-style YAML, for people and files.
     [[nodiscard]] std::string toReadableYaml() const;
-    /// SHA-256 of toYaml(), lower-case hex.
+    /// SHA-256 of the canonical text, in lower-case hex.
     [[nodiscard]] std::string hash() const;
 
-    /// The view of one data centre.
+    /// The settings resolved for one data centre.
     [[nodiscard]] std::shared_ptr<const EffectiveSettings> effective(std::string_view dataCentre,
                                                                      std::uint64_t version) const;
+    /// Names of the data centres, in byte order.
     [[nodiscard]] std::vector<std::string> dataCentres() const;
-    /// What is written, path by path.
+    /// The values as written, by path, before inheritance.
     [[nodiscard]] const Document &document() const;
 
 private:
--- a/include/snipestall/settings/tree_edits.hpp
+++ b/include/snipestall/settings/tree_edits.hpp
@@ -12,16 +12,18 @@
 
 namespace snipestall::settings {
 
-/// A tree with the edits made, checked as a whole; every fault in one go.
+/// Applies the edits in order and validates the result as a whole. Reports all faults at once.
 tl::expected<Tree, std::vector<Fault>> withEdits(const Tree &tree, std::span<const Edit> edits);
 
-/// Paths that differ, by path: values, and named things that came or went (as "{}").
+/// Differences between two trees, in order of their paths: changed values, and entities that were
+/// added or removed (with the text "{}").
 std::vector<Difference> differences(const Tree &before, const Tree &after);
 
-/// The fewest edits that make `before` equal to `after`.
+/// The smallest list of edits that turns `before` into `after`.
 std::vector<Edit> editsBetween(const Tree &before, const Tree &after);
 
-/// Whether two sets of changed paths touch: one path equals, contains or is contained in another.
+/// Whether two sets of changed paths overlap: a path of one equals, contains or is contained in a
+/// path of the other.
 bool touch(std::span<const Difference> a, std::span<const Edit> b);
 
 } // namespace snipestall::settings
--- a/src/snipestall/settings/canonical_text.cpp
+++ b/src/snipestall/settings/canonical_text.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// The object of a section, made where it isn't there yet.
+/// The object of a section, created if it doesn't exist yet.
 json::object &sectionAt(json::object &root, std::string_view path)
 {
     json::object *section = &root;
@@ -104,10 +104,10 @@
     return json::serialize(root) + "\n";
 }
 
-// A text that merely resembles the canonical form could hold a name twice, of which the JSON reader
-// keeps the last without a word; an operator's first value would vanish. So the document counts
-// only if writing it gives the very text that was read; anything else goes the slow way, with its
-// faults.
+// A text that merely resembles the canonical form could hold a name twice; the JSON parser keeps
+// the last value silently, and the operator's first value would be lost. So the document is
+// accepted only if writing it gives exactly the text that was read. Any other text is left to the
+// slower YAML reader, which reports its faults.
 std::optional<Document> readCanonical(std::string_view text)
 {
     if (!text.starts_with('{'))
--- a/src/snipestall/settings/cross_checks.cpp
+++ b/src/snipestall/settings/cross_checks.cpp
@@ -15,8 +15,9 @@
 namespace snipestall::settings {
 namespace {
 
-/// Decimal shares such as 0.1 are not exact in binary; ten of them may pass 1 by this much.
-constexpr double ShareRounding = 1e-9;
+/// Decimal shares such as 0.1 are not exact in binary, so the sum of ten of them may exceed 1 by up
+/// to this much.
+constexpr double ShareSumTolerance = 1e-9;
 
 using Faults = std::vector<Fault>;
 using Names = std::vector<std::string>;
@@ -35,10 +36,10 @@
     for (const std::string &name : document.names(section)) {
         if (document.has(joinPath(target, name)))
             continue;
-        const std::string meant = nearest(name, known);
+        const std::string suggestion = nearestName(name, known);
         faults.push_back({ joinPath(section, name), "no " + joinPath(target, name),
-                           meant.empty() ? "a name that stands under " + target
-                                         : "did you mean " + meant + "?" });
+                           suggestion.empty() ? "a name defined under " + target
+                                              : "did you mean " + suggestion + "?" });
     }
 }
 
@@ -60,8 +61,8 @@
         if (segments.size() != ShareDepth || segments[0] != "customers" || segments[2] != "shares")
             continue;
         if (!document.has(joinPath("data_centres", segments[3])))
-            faults.push_back({ path, "no data_centres/" + segments[3],
-                               "a name that stands under data_centres" });
+            faults.push_back(
+                { path, "no data_centres/" + segments[3], "a name defined under data_centres" });
     }
 }
 
@@ -69,7 +70,7 @@
                    const std::string &path)
 {
     const double sum = LimitShares::of(document, customer).sum();
-    if (sum > 1 + ShareRounding)
+    if (sum > 1 + ShareSumTolerance)
         faults.push_back({ path, "shares that sum to " + toText(sum), "a sum of at most 1" });
 }
 
@@ -83,14 +84,14 @@
     checkShareNames(document, faults);
     checkShareSum(document, faults, "", "data_centres");
     for (const std::string &name : document.names("customers")) {
-        if (LimitShares::hasOwn(document, name))
+        if (LimitShares::hasOwnShares(document, name))
             checkShareSum(document, faults, name, joinPath("customers", name) + "/shares");
     }
 }
 
 void checkModels(const Document &document, Faults &faults)
 {
-    std::map<std::string, std::string> serviceOf;
+    std::map<std::string, std::string> serviceByModel;
     for (const std::string &name : document.names("services")) {
         const std::string path = joinPath("services", name) + "/models";
         const Value *kind = document.find(joinPath("services", name) + "/kind");
@@ -101,29 +102,30 @@
         if (!isPlain && models.empty())
             faults.push_back({ path, "nothing", "at least one model, or kind: plain" });
         for (const std::string &model : models) {
-            const auto [other, isNew] = serviceOf.emplace(model, name);
+            const auto [other, isNew] = serviceByModel.emplace(model, name);
             if (!isNew)
-                faults.push_back({ path, model + ", which is a model of " + other->second + " too",
-                                   "each model in one service" });
+                faults.push_back({ path, model + ", which " + other->second + " also has",
+                                   "a model of one service only" });
         }
     }
 }
 
 void checkKeys(const Document &document, Faults &faults, const std::string &section,
-               std::map<std::string, std::string> &holderOf)
+               std::map<std::string, std::string> &holderByHash)
 {
     for (const std::string &name : document.names(section)) {
         const std::string holder = joinPath(section, name);
         for (const std::string &hash : listAt(document, holder + "/key_hashes")) {
-            const auto [other, isNew] = holderOf.emplace(hash, holder);
+            const auto [other, isNew] = holderByHash.emplace(hash, holder);
             if (!isNew)
-                faults.push_back({ holder + "/key_hashes", "a key of " + other->second + " too",
-                                   "each key for one holder" });
+                faults.push_back({ holder + "/key_hashes",
+                                   "a key that " + other->second + " also has",
+                                   "a key of one customer or operator only" });
         }
     }
 }
 
-// A document without an operator's key would be the last one: nobody could change it any more.
+// If no operator had a key, nobody could change the settings any more.
 void checkOperators(const Document &document, Faults &faults)
 {
     for (const std::string &name : document.names("operators")) {
@@ -135,14 +137,14 @@
 
 void checkServers(Faults &faults, const Chain &chain)
 {
-    const ResolvedValue least = resolve(chain, "min_servers");
-    const ResolvedValue most = resolve(chain, "max_servers");
-    if (std::get<std::uint32_t>(least.value) <= std::get<std::uint32_t>(most.value))
+    const ResolvedValue minServers = resolve(chain, "min_servers");
+    const ResolvedValue maxServers = resolve(chain, "max_servers");
+    if (std::get<std::uint32_t>(minServers.value) <= std::get<std::uint32_t>(maxServers.value))
         return;
-    const std::string section = least.from == "default" ? most.from : least.from;
-    faults.push_back(
-        { section + "/min_servers", toText(least.value),
-          "at most max_servers, which is " + toText(most.value) + " from " + most.from });
+    const std::string section = minServers.from == "default" ? maxServers.from : minServers.from;
+    faults.push_back({ section + "/min_servers", toText(minServers.value),
+                       "at most max_servers, which is " + toText(maxServers.value) + " from "
+                           + maxServers.from });
 }
 
 void checkLatency(Faults &faults, const Chain &chain)
@@ -158,11 +160,12 @@
                            + resolve(chain, "latency/deadline").from });
 }
 
-/// Stands for every data centre that overrides nothing; no name can be this.
+/// Stands for every data centre without overrides. It is not a valid name, so no data centre can
+/// have it.
 constexpr const char *AnyDataCentre = "*";
 
-/// The data centres that must be looked at one by one, since they override a latency.
-Names withOwnLatency(const Document &document)
+/// The data centres to check: AnyDataCentre, and each one that overrides a latency.
+Names dataCentresWithLatency(const Document &document)
 {
     Names found { AnyDataCentre };
     for (const std::string &name : document.names("data_centres")) {
@@ -188,7 +191,7 @@
 void checkAllLatencies(const Document &document, Faults &faults, Resolver &resolver)
 {
     checkLatency(faults, resolver.fleet());
-    const Names dataCentres = withOwnLatency(document);
+    const Names dataCentres = dataCentresWithLatency(document);
     for (const std::string &customer : document.names("customers")) {
         for (const std::string &service :
              document.names(joinPath("customers", customer) + "/services")) {
@@ -206,9 +209,9 @@
     checkAllReferences(document, faults);
     checkShares(document, faults);
     checkModels(document, faults);
-    std::map<std::string, std::string> holderOf;
-    checkKeys(document, faults, "operators", holderOf);
-    checkKeys(document, faults, "customers", holderOf);
+    std::map<std::string, std::string> holderByHash;
+    checkKeys(document, faults, "operators", holderByHash);
+    checkKeys(document, faults, "customers", holderByHash);
     checkOperators(document, faults);
     Resolver resolver(document);
     checkAllServers(document, faults, resolver);
--- a/src/snipestall/settings/cross_checks.hpp
+++ b/src/snipestall/settings/cross_checks.hpp
@@ -8,7 +8,7 @@
 
 struct Document;
 
-/// What no single value shows: references, sums, uniqueness, order between values.
+/// Checks that involve several values: references, sums, uniqueness, order between values.
 std::vector<Fault> crossCheck(const Document &document);
 
 } // namespace snipestall::settings
--- a/src/snipestall/settings/document_reader.cpp
+++ b/src/snipestall/settings/document_reader.cpp
@@ -13,14 +13,15 @@
 namespace snipestall::settings {
 namespace {
 
-constexpr std::size_t LargestText = 4 * 1024 * 1024;
-constexpr std::size_t MostValues = 200'000;
-constexpr std::size_t LongestShown = 80;
+constexpr std::size_t MaxTextBytes = 4 * 1024 * 1024;
+constexpr std::size_t MaxValues = 200'000;
+/// Longest text of a value that a fault shows.
+constexpr std::size_t MaxShownLength = 80;
 
 std::string shorten(std::string text)
 {
-    if (text.size() > LongestShown)
-        text = text.substr(0, LongestShown) + "...";
+    if (text.size() > MaxShownLength)
+        text = text.substr(0, MaxShownLength) + "...";
     return text;
 }
 
@@ -38,8 +39,8 @@
     }
 }
 
-// An operator who puts a key itself where its hash belongs would see it again in the fault, in the
-// terminal's history and in the log. So what stands in a secret's place is never shown.
+// The value is not shown for settings that hold hashes of keys: an operator may have entered the
+// key itself by mistake, and the fault would repeat it in the terminal's history and in the log.
 std::string describeFor(const SettingInfo &setting, const YAML::Node &node)
 {
     if (setting.type != ValueType::KeyHashes)
@@ -56,12 +57,12 @@
         : m_document(document)
     { }
 
-    /// What was wrong, once everything is read.
+    /// The faults found. Called once, after everything is read.
     std::vector<Fault> faults()
     {
-        if (m_seen.size() > MostValues)
-            fault("", "more than " + std::to_string(MostValues) + " values",
-                  "at most as many; does an alias repeat sections?");
+        if (m_seenPaths.size() > MaxValues)
+            addFault("", "more than " + std::to_string(MaxValues) + " values",
+                     "at most as many; check for aliases that repeat sections");
         return std::move(m_faults);
     }
 
@@ -69,65 +70,67 @@
     {
         if (!node.IsMap()) {
             if (!node.IsNull())
-                fault(path, describe(node), allowedUnder(schema));
+                addFault(path, describe(node), allowedUnder(schema));
             return;
         }
         for (const auto &entry : node)
             readEntry(entry.first, entry.second, schema, path);
     }
 
-    /// Goes down a path that is named from the root and reads what stands at its end.
+    /// Follows a path from the root and reads the node as the value or section at its end.
     void readPath(const std::string &path, const YAML::Node &node)
     {
         const SchemaNode *schema = &schemaRoot();
-        std::string at;
+        std::string currentPath;
         const std::vector<std::string> names = splitPath(path);
         for (std::size_t i = 0; i < names.size(); ++i) {
-            schema = descend(*schema, at, names[i], i + 1 == names.size());
+            schema = descend(*schema, currentPath, names[i], i + 1 == names.size());
             if (!schema)
                 return;
         }
         if (schema->setting)
-            readValue(node, *schema->setting, at);
+            readValue(node, *schema->setting, currentPath);
         else
-            readSection(node, *schema, at);
+            readSection(node, *schema, currentPath);
     }
 
-    void fault(std::string path, std::string found, std::string allowed)
+    void addFault(std::string path, std::string found, std::string allowed)
     {
         m_faults.push_back({ std::move(path), std::move(found), std::move(allowed) });
     }
 
 private:
-    /// One step of readPath; null once a fault is found.
-    const SchemaNode *descend(const SchemaNode &schema, std::string &at, const std::string &name,
-                              bool isLast)
+    /// Follows one segment for readPath. Null if a fault was found.
+    const SchemaNode *descend(const SchemaNode &schema, std::string &currentPath,
+                              const std::string &name, bool isLast)
     {
-        const std::string parent = at;
-        at = joinPath(at, name);
+        const std::string parent = currentPath;
+        currentPath = joinPath(currentPath, name);
         const SchemaNode *child = schema.child(name);
         if (schema.setting)
-            fault(at, "a value on the way to it", "a path such as customers/NAME/weight");
+            addFault(currentPath, "a name under a value", "a path such as customers/NAME/weight");
         else if (!child)
-            fault(at, "unknown name " + shorten(name), allowedInPlaceOf(name, schema));
+            addFault(currentPath, "unknown name " + shorten(name), allowedInsteadOf(name, schema));
         else if (schema.anyName && !child->setting)
-            return enterEntity(*child, parent, at, isLast);
+            return enterEntity(*child, parent, currentPath, isLast);
         return schema.setting ? nullptr : child;
     }
 
-    // A mistyped customer in a path would otherwise make a new customer with that one value, and
-    // the operator would take the limit of the one that was meant for changed.
+    // A value can be set only in an entity that exists. Otherwise a mistyped customer in a path
+    // would create a new customer with that one value, and the operator would believe that the
+    // limit of the intended customer was changed.
     const SchemaNode *enterEntity(const SchemaNode &child, const std::string &parent,
-                                  const std::string &at, bool isLast)
+                                  const std::string &currentPath, bool isLast)
     {
         if (isLast)
-            m_document.entities.insert(at);
-        if (m_document.has(at))
+            m_document.entities.insert(currentPath);
+        if (m_document.has(currentPath))
             return &child;
-        const std::string meant = nearest(at.substr(parent.size() + 1), m_document.names(parent));
-        fault(at, "no such name",
-              (meant.empty() ? "" : "did you mean " + meant + "? ") + "to make a new one, set " + at
-                  + " itself");
+        const std::string suggestion =
+            nearestName(currentPath.substr(parent.size() + 1), m_document.names(parent));
+        addFault(currentPath, "no such name",
+                 (suggestion.empty() ? "" : "did you mean " + suggestion + "? ")
+                     + "to create it, set " + currentPath + " itself");
         return nullptr;
     }
 
@@ -141,13 +144,13 @@
         return names;
     }
 
-    static std::string allowedInPlaceOf(const std::string &name, const SchemaNode &schema)
+    static std::string allowedInsteadOf(const std::string &name, const SchemaNode &schema)
     {
         std::vector<std::string> names;
         for (const auto &child : schema.children)
             names.push_back(child.first);
-        const std::string meant = nearest(name, names);
-        return meant.empty() ? allowedUnder(schema) : "did you mean " + meant + "?";
+        const std::string suggestion = nearestName(name, names);
+        return suggestion.empty() ? allowedUnder(schema) : "did you mean " + suggestion + "?";
     }
 
     void readEntry(const YAML::Node &key, const YAML::Node &node, const SchemaNode &schema,
@@ -157,14 +160,14 @@
         const std::string path = joinPath(parent, name);
         const SchemaNode *child = key.IsScalar() ? schema.child(name) : nullptr;
         if (!child) {
-            fault(path, "unknown name " + shorten(name), allowedInPlaceOf(name, schema));
+            addFault(path, "unknown name " + shorten(name), allowedInsteadOf(name, schema));
             return;
         }
-        if (!m_seen.insert(path).second) {
-            fault(path, "written twice", "once");
+        if (!m_seenPaths.insert(path).second) {
+            addFault(path, "written twice", "once");
             return;
         }
-        if (m_seen.size() > MostValues)
+        if (m_seenPaths.size() > MaxValues)
             return;
         if (child->setting) {
             readValue(node, *child->setting, path);
@@ -179,16 +182,16 @@
     {
         std::optional<Value> value;
         if (isList(setting))
-            value = listOf(node, setting);
+            value = readListNode(node, setting);
         else if (node.IsScalar())
             value = readScalar(setting, node.Scalar());
         if (value)
             m_document.values.emplace(path, std::move(*value));
         else
-            fault(path, describeFor(setting, node), allowedText(setting));
+            addFault(path, describeFor(setting, node), allowedText(setting));
     }
 
-    static std::optional<Value> listOf(const YAML::Node &node, const SettingInfo &setting)
+    static std::optional<Value> readListNode(const YAML::Node &node, const SettingInfo &setting)
     {
         if (!node.IsSequence())
             return std::nullopt;
@@ -203,26 +206,26 @@
 
     Document &m_document;
     std::vector<Fault> m_faults;
-    std::set<std::string, std::less<>> m_seen;
+    std::set<std::string, std::less<>> m_seenPaths;
 };
 
-void faultOf(Reader &reader, const std::string &path, const YAML::Exception &error)
+void addYamlFault(Reader &reader, const std::string &path, const YAML::Exception &error)
 {
-    const std::string place = error.mark.is_null()
-        ? std::string("unreadable YAML")
-        : "unreadable YAML in line " + std::to_string(error.mark.line + 1);
-    reader.fault(path, place + ": " + error.msg, "YAML text; see docs/settings.md");
+    const std::string problem = error.mark.is_null()
+        ? std::string("invalid YAML")
+        : "invalid YAML in line " + std::to_string(error.mark.line + 1);
+    reader.addFault(path, problem + ": " + error.msg, "YAML text; see docs/settings.md");
 }
 
 } // namespace
 
-ReadDocument readDocument(std::string_view yaml)
+ReadResult readDocument(std::string_view yaml)
 {
-    ReadDocument read;
+    ReadResult read;
     Reader reader(read.document);
-    if (yaml.size() > LargestText) {
-        reader.fault("", std::to_string(yaml.size()) + " bytes",
-                     "at most " + std::to_string(LargestText) + " bytes");
+    if (yaml.size() > MaxTextBytes) {
+        reader.addFault("", std::to_string(yaml.size()) + " bytes",
+                        "at most " + std::to_string(MaxTextBytes) + " bytes");
         read.faults = reader.faults();
         return read;
     }
@@ -230,19 +233,19 @@
         const YAML::Node root = YAML::Load(std::string(yaml));
         reader.readSection(root, schemaRoot(), "");
     } catch (const YAML::Exception &error) {
-        faultOf(reader, "", error);
+        addYamlFault(reader, "", error);
     }
     read.faults = reader.faults();
     return read;
 }
 
-std::vector<Fault> readAt(Document &document, const std::string &path, const std::string &yaml)
+std::vector<Fault> readInto(Document &document, const std::string &path, const std::string &yaml)
 {
     Reader reader(document);
     try {
         reader.readPath(path, YAML::Load(yaml));
     } catch (const YAML::Exception &error) {
-        faultOf(reader, path, error);
+        addYamlFault(reader, path, error);
     }
     return reader.faults();
 }
--- a/src/snipestall/settings/document_reader.hpp
+++ b/src/snipestall/settings/document_reader.hpp
@@ -9,18 +9,18 @@
 
 namespace snipestall::settings {
 
-/// A document as far as it can be read, and what is wrong with the rest.
-struct ReadDocument
+/// The readable part of a document and the faults of the rest.
+struct ReadResult
 {
     Document document;
     std::vector<Fault> faults;
 };
 
-/// Holds a YAML text to the schema, value by value.
-ReadDocument readDocument(std::string_view yaml);
+/// Reads a YAML text and checks each value against the schema.
+ReadResult readDocument(std::string_view yaml);
 
-/// Reads the YAML text of one value or section into a document that says nothing at or under the
-/// path. The faults found.
-std::vector<Fault> readAt(Document &document, const std::string &path, const std::string &yaml);
+/// Reads the YAML text of one value or section into a document that has nothing at or under the
+/// path. Returns the faults found.
+std::vector<Fault> readInto(Document &document, const std::string &path, const std::string &yaml);
 
 } // namespace snipestall::settings
--- a/src/snipestall/settings/document_writer.hpp
+++ b/src/snipestall/settings/document_writer.hpp
@@ -6,7 +6,7 @@
 
 struct Document;
 
-/// YAML for people: sections in blocks, names in order.
+/// Writes YAML for people: block style, names in byte order.
 std::string writeReadable(const Document &document);
 
 } // namespace snipestall::settings
--- a/src/snipestall/settings/effective_builder.cpp
+++ b/src/snipestall/settings/effective_builder.cpp
@@ -14,7 +14,8 @@
 namespace snipestall::settings {
 namespace {
 
-/// A member of a row that takes a setting's value; the alternatives are the types in use.
+/// Pointer to the member of a row that holds a setting's value; one alternative for each type in
+/// use.
 template<typename Row>
 using Member = std::variant<std::chrono::milliseconds Row::*, double Row::*, std::uint32_t Row::*,
                             bool Row::*>;
@@ -97,8 +98,8 @@
 {
     const LimitShares common = LimitShares::of(document, "");
     for (const std::string &customer : document.names("customers")) {
-        const bool hasOwn = LimitShares::hasOwn(document, customer);
-        const LimitShares shares = hasOwn ? LimitShares::of(document, customer) : common;
+        const bool hasOwnShares = LimitShares::hasOwnShares(document, customer);
+        const LimitShares shares = hasOwnShares ? LimitShares::of(document, customer) : common;
         const std::string services = joinPath(joinPath("customers", customer), "services");
         for (const std::string &service : document.names(services)) {
             const Chain chain = resolver.leaf(view.dataCentre, customer, service);
@@ -122,15 +123,15 @@
     }
 }
 
-void addKeys(std::map<std::string, std::string, std::less<>> &holderOf, const Document &document,
-             const std::string &section)
+void addKeys(std::map<std::string, std::string, std::less<>> &holderByHash,
+             const Document &document, const std::string &section)
 {
     for (const std::string &name : document.names(section)) {
         const Value *hashes = document.find(joinPath(joinPath(section, name), "key_hashes"));
         if (!hashes)
             continue;
         for (const std::string &hash : std::get<Names>(*hashes))
-            holderOf.emplace(hash, name);
+            holderByHash.emplace(hash, name);
     }
 }
 
--- a/src/snipestall/settings/effective_builder.hpp
+++ b/src/snipestall/settings/effective_builder.hpp
@@ -9,7 +9,7 @@
 struct Document;
 struct EffectiveSettings;
 
-/// Resolves a checked document for one data centre.
+/// Resolves a validated document for one data centre.
 std::shared_ptr<const EffectiveSettings>
 buildEffective(const Document &document, std::string_view dataCentre, std::uint64_t version);
 
--- a/src/snipestall/settings/explain_effective.cpp
+++ b/src/snipestall/settings/explain_effective.cpp
@@ -13,17 +13,17 @@
 
 using Values = std::vector<ResolvedValue>;
 
-bool asksFor(const std::string &wanted, const std::string &name)
+bool isSelected(const std::string &wanted, const std::string &name)
 {
     return wanted.empty() || wanted == name;
 }
 
-/// Every setting that is inherited along the chain.
+/// Adds every setting that is inherited along the chain.
 void addChain(Values &values, const Chain &chain, const std::string &name)
 {
     for (const SettingInfo &setting : schema()) {
-        const bool isInherited = contains(setting.places, chain.front()->place())
-            || contains(setting.places, chain.back()->place());
+        const bool isInherited = contains(setting.scopes, chain.front()->scope())
+            || contains(setting.scopes, chain.back()->scope());
         if (!isInherited || setting.key.empty())
             continue;
         ResolvedValue value = resolve(chain, setting.key);
@@ -47,19 +47,19 @@
     const std::string from = "share of " + shareSource(document, query);
     values.push_back({ joinPath(name, "local/share"), share, from });
     for (const auto *key : { "limits/requests_per_second", "limits/tokens_per_second" }) {
-        const double whole = std::get<double>(valueOf(chain, key));
-        values.push_back({ joinPath(name, "local/" + std::string(key)), whole * share, from });
+        const double total = std::get<double>(valueOf(chain, key));
+        values.push_back({ joinPath(name, "local/" + std::string(key)), total * share, from });
     }
-    const auto whole = std::get<std::uint32_t>(valueOf(chain, "limits/concurrency"));
+    const auto total = std::get<std::uint32_t>(valueOf(chain, "limits/concurrency"));
     values.push_back({ joinPath(name, "local/limits/concurrency"),
-                       shares.divide(whole, query.dataCentre), from });
+                       shares.divide(total, query.dataCentre), from });
 }
 
 void addServices(Values &values, const Document &document, Resolver &resolver,
                  const EffectiveQuery &query)
 {
     for (const std::string &service : document.names("services")) {
-        if (asksFor(query.service, service))
+        if (isSelected(query.service, service))
             addChain(values, resolver.service(query.dataCentre, service),
                      joinPath("services", service));
     }
@@ -78,13 +78,13 @@
 {
     const std::string section = joinPath(joinPath("customers", customer), "services");
     for (const std::string &service : document.names(section)) {
-        if (!asksFor(query.service, service))
+        if (!isSelected(query.service, service))
             continue;
         const std::string name = joinPath(section, service);
         const Chain chain = resolver.leaf(query.dataCentre, customer, service);
         addChain(values, chain, name);
-        const EffectiveQuery one { query.dataCentre, customer, service };
-        addLocalLimits(values, document, chain, one, name);
+        const EffectiveQuery leafQuery { query.dataCentre, customer, service };
+        addLocalLimits(values, document, chain, leafQuery, name);
     }
 }
 
@@ -103,7 +103,7 @@
             addClasses(values, document, resolver, query.dataCentre);
     }
     for (const std::string &customer : document.names("customers")) {
-        if (asksFor(query.customer, customer))
+        if (isSelected(query.customer, customer))
             addCustomer(values, document, resolver, query, customer);
     }
     return values;
--- a/src/snipestall/settings/key_holder.cpp
+++ b/src/snipestall/settings/key_holder.cpp
@@ -7,7 +7,7 @@
 namespace snipestall::settings {
 namespace {
 
-bool sameHash(const std::string &a, std::string_view b)
+bool hashesEqual(const std::string &a, std::string_view b)
 {
     return a.size() == b.size() && CRYPTO_memcmp(a.data(), b.data(), a.size()) == 0;
 }
@@ -21,7 +21,7 @@
     const std::string hash = sha256Hex(key);
     const std::string *holder = nullptr;
     for (const auto &[known, name] : holderByHash) {
-        if (sameHash(hash, known))
+        if (hashesEqual(hash, known))
             holder = &name;
     }
     return holder ? std::optional(*holder) : std::nullopt;
@@ -29,7 +29,7 @@
 
 bool keyHasHash(std::string_view key, std::string_view hash)
 {
-    return sameHash(sha256Hex(key), hash);
+    return hashesEqual(sha256Hex(key), hash);
 }
 
 } // namespace snipestall::settings
--- a/src/snipestall/settings/limit_shares.cpp
+++ b/src/snipestall/settings/limit_shares.cpp
@@ -10,8 +10,9 @@
 namespace snipestall::settings {
 namespace {
 
-/// Keeps 0.29 * 100 from being counted as 28.
-constexpr double Rounding = 1e-9;
+/// Added before rounding down, because 0.29 * 100 is slightly less than 29 in binary and would
+/// count as 28.
+constexpr double RoundingTolerance = 1e-9;
 
 struct Part
 {
@@ -47,7 +48,7 @@
     return shares;
 }
 
-bool LimitShares::hasOwn(const Document &document, std::string_view customer)
+bool LimitShares::hasOwnShares(const Document &document, std::string_view customer)
 {
     const std::string section = ownSection(customer);
     const auto first = document.values.lower_bound(section);
@@ -71,24 +72,25 @@
     return sum;
 }
 
-// Each data centre divides by itself, without asking the others. Rounding each part up would pass
-// the limit, rounding each down would lose up to one request a data centre, and a limit of 1 would
-// allow none at all. The largest remainders get what is left, in an order that all compute alike.
+// Each data centre computes its part without communicating with the others. Rounding every part up
+// would exceed the limit. Rounding every part down would lose up to one request per data centre,
+// and a limit of 1 would allow no request at all. So the rest goes to the largest remainders, in an
+// order that is the same in every data centre.
 std::uint32_t LimitShares::divide(std::uint32_t limit, std::string_view dataCentre) const
 {
     std::vector<Part> parts;
-    auto left = static_cast<std::uint32_t>(std::floor(limit * sum() + Rounding));
+    auto remaining = static_cast<std::uint32_t>(std::floor(limit * sum() + RoundingTolerance));
     for (std::size_t i = 0; i < m_shares.size(); ++i) {
         const double exact = limit * m_shares[i].share;
-        const double whole = std::floor(exact + Rounding);
+        const double whole = std::floor(exact + RoundingTolerance);
         parts.push_back({ i, static_cast<std::uint32_t>(whole), exact - whole });
-        left -= std::min(left, parts.back().whole);
+        remaining -= std::min(remaining, parts.back().whole);
     }
     std::stable_sort(parts.begin(), parts.end(),
                      [](const Part &a, const Part &b) { return a.remainder > b.remainder; });
     for (const Part &part : parts) {
-        const std::uint32_t extra = left > 0 ? 1 : 0;
-        left -= extra;
+        const std::uint32_t extra = remaining > 0 ? 1 : 0;
+        remaining -= extra;
         if (m_shares[part.index].dataCentre == dataCentre)
             return part.whole + extra;
     }
--- a/src/snipestall/settings/limit_shares.hpp
+++ b/src/snipestall/settings/limit_shares.hpp
@@ -9,18 +9,21 @@
 
 struct Document;
 
-/// How one customer's limits are divided over the data centres.
+/// The shares by which one customer's limits are divided among the data centres.
 class LimitShares
 {
 public:
-    /// An empty name gives the shares of a customer that has none of its own.
+    /// The shares in force for a customer. An empty name gives those of a customer without shares
+    /// of its own.
     static LimitShares of(const Document &document, std::string_view customer);
-    static bool hasOwn(const Document &document, std::string_view customer);
+    /// Whether the customer overrides the share of any data centre.
+    static bool hasOwnShares(const Document &document, std::string_view customer);
 
+    /// Share of a data centre, 0 to 1; 0 for an unknown one.
     [[nodiscard]] double share(std::string_view dataCentre) const;
     [[nodiscard]] double sum() const;
-    /// A data centre's whole part of a limit that counts requests. The parts of all data centres
-    /// sum to the limit times the sum of the shares, rounded down.
+    /// A data centre's part of a limit that counts requests, as a whole number. The parts of all
+    /// data centres sum to the limit times the sum of the shares, rounded down.
     [[nodiscard]] std::uint32_t divide(std::uint32_t limit, std::string_view dataCentre) const;
 
 private:
@@ -30,7 +33,7 @@
         double share = 0;
     };
 
-    /// By name of the data centre.
+    /// In order of the names of the data centres.
     std::vector<Share> m_shares;
 };
 
--- a/src/snipestall/settings/path.cpp
+++ b/src/snipestall/settings/path.cpp
@@ -25,7 +25,7 @@
     return path.append(segment);
 }
 
-bool pathsTouch(std::string_view a, std::string_view b)
+bool pathsOverlap(std::string_view a, std::string_view b)
 {
     const std::string_view shorter = a.size() < b.size() ? a : b;
     const std::string_view longer = a.size() < b.size() ? b : a;
--- a/src/snipestall/settings/reference.cpp
+++ b/src/snipestall/settings/reference.cpp
@@ -15,29 +15,30 @@
 
 constexpr std::string_view Introduction = R"(# Settings
 
-Generated from the schema by `snipestallctl reference`; a test holds this page to it. To read or
-change settings see [snipestallctl](snipestallctl.md).
+Generated from the schema by `snipestallctl reference settings`; a test checks that this page is up
+to date. To read or change settings see [snipestallctl](snipestallctl.md).
 
-One YAML document holds everything that operators decide. Values are inherited from the general
-level to the special one, and each level may override:
+One YAML document holds all settings. Values are inherited from the general level to the specific
+one, and each level may override them:
 
     fleet -> data_centres/* -> customers/* -> customers/*/services/*      limits, latency, weight
     services/* -> data_centres/*/services/*                               what a service is
     classes/* -> data_centres/*/classes/*                                 prices and reclaims
 
-Names are lower-case letters, digits, `-`, `_` and `.`, at most 64. Durations carry their unit: `ms`,
-`s`, `min` or `h`. An unknown name, a value out of range, a reference to nothing: each is a fault,
-and a document with a fault is not applied at all. `snipestallctl get --effective` says for every
-value which level it comes from.
+Names are at most 64 lower-case letters, digits, `-`, `_` and `.`. Durations carry their unit: `ms`,
+`s`, `min` or `h`. An unknown name, a value out of range and a reference to a name that doesn't
+exist are faults, and a document with a fault is not applied at all. `snipestallctl get --effective`
+shows for every value which level it comes from.
 
-A customer's limits hold over all data centres together. Each data centre may use its share of them
-by itself, so the sum stays within the limit while data centres are cut off from each other. A limit
-that counts requests is divided into whole requests: the largest remainders get what is left over, so
-a limit of 1 allows one request in one data centre and none in the others.
+A customer's limits apply to all data centres together. Each data centre enforces its own share of
+them, so the sum stays within the limit even while data centres can't reach each other. A limit that
+counts requests is divided into whole requests: what is left after rounding down goes to the data
+centres with the largest remainders, so a limit of 1 allows one request in one data centre and none
+in the others.
 
-Keys never stand in the settings, only their SHA-256 hashes.
+The settings never contain keys, only their SHA-256 hashes.
 
-What is checked between values:
+Checks that involve several values:
 
 - `share` of every data centre is given, and shares sum to at most 1, for each customer too
 - services under customers and data centres, and data centres under `shares`, exist
@@ -46,7 +47,7 @@
 - `min_servers` is at most `max_servers`, `latency/first_token` at most `latency/deadline`
 )";
 
-std::string code(std::string_view text)
+std::string codeSpan(std::string_view text)
 {
     return text.empty() ? std::string() : "`" + std::string(text) + "`";
 }
@@ -54,18 +55,18 @@
 std::string tableRow(const SettingInfo &setting)
 {
     const std::string_view name = setting.key.empty() ? "(the value itself)" : setting.key;
-    std::string row = "| " + code(name) + " | " + allowedText(setting) + " | ";
-    row.append(setting.unit).append(" | ").append(code(setting.byDefault)).append(" | ");
-    return row.append(setting.meaning).append(" |\n");
+    std::string row = "| " + codeSpan(name) + " | " + allowedText(setting) + " | ";
+    row.append(setting.unit).append(" | ").append(codeSpan(setting.defaultText)).append(" | ");
+    return row.append(setting.description).append(" |\n");
 }
 
-std::string sectionOf(const PlaceInfo &place)
+std::string sectionText(const ScopeInfo &scope)
 {
-    std::string text = "\n## `" + std::string(place.pattern) + "`\n\n";
-    text.append(place.meaning).append("\n");
+    std::string text = "\n## `" + std::string(scope.pattern) + "`\n\n";
+    text.append(scope.description).append("\n");
     std::string rows;
     for (const SettingInfo &setting : schema()) {
-        if (contains(setting.places, place.place))
+        if (contains(setting.scopes, scope.scope))
             rows += tableRow(setting);
     }
     if (!rows.empty())
@@ -76,20 +77,20 @@
 
 std::string explainSetting(const SettingInfo &setting)
 {
-    std::string text(setting.meaning);
+    std::string text(setting.description);
     text.append("\n  allowed: ").append(allowedText(setting));
     if (!setting.unit.empty())
         text.append("\n  unit:    ").append(setting.unit);
-    text.append("\n  default: ").append(setting.byDefault.empty() ? "none" : setting.byDefault);
-    text.append("\n  may stand at:");
-    for (const PlaceInfo &place : places()) {
-        if (contains(setting.places, place.place))
-            text.append("\n    ").append(patternOf(setting, place.place));
+    text.append("\n  default: ").append(setting.defaultText.empty() ? "none" : setting.defaultText);
+    text.append("\n  may be set at:");
+    for (const ScopeInfo &scope : scopes()) {
+        if (contains(setting.scopes, scope.scope))
+            text.append("\n    ").append(patternOf(setting, scope.scope));
     }
     return text + "\n";
 }
 
-/// The node of a path in which `*` stands for any name.
+/// The schema node of a path in which `*` stands for any name; null if there is none.
 const SchemaNode *nodeAt(const std::vector<std::string> &segments)
 {
     const SchemaNode *node = &schemaRoot();
@@ -104,11 +105,11 @@
 std::vector<std::string> patterns()
 {
     std::vector<std::string> all;
-    for (const PlaceInfo &place : places()) {
-        all.emplace_back(place.pattern);
+    for (const ScopeInfo &scope : scopes()) {
+        all.emplace_back(scope.pattern);
         for (const SettingInfo &setting : schema()) {
-            if (contains(setting.places, place.place))
-                all.push_back(patternOf(setting, place.place));
+            if (contains(setting.scopes, scope.scope))
+                all.push_back(patternOf(setting, scope.scope));
         }
     }
     return all;
@@ -125,9 +126,9 @@
 std::string explainSection(const SchemaNode &node, const std::vector<std::string> &segments)
 {
     std::string text;
-    for (const PlaceInfo &place : places()) {
-        if (matches(std::string(place.pattern), segments))
-            text.append(place.meaning).append("\n");
+    for (const ScopeInfo &scope : scopes()) {
+        if (matches(std::string(scope.pattern), segments))
+            text.append(scope.description).append("\n");
     }
     text.append("  holds:\n");
     for (const auto &child : node.children)
@@ -139,9 +140,9 @@
 
 tl::unexpected<Error> unknownPath(std::string_view path)
 {
-    const std::string meant = nearest(path, patterns());
+    const std::string suggestion = nearestName(path, patterns());
     std::string message = "no setting '" + std::string(path) + "'; ";
-    message += meant.empty() ? "see docs/settings.md" : "did you mean " + meant + "?";
+    message += suggestion.empty() ? "see docs/settings.md" : "did you mean " + suggestion + "?";
     return fail(ErrorKind::NotFound, std::move(message));
 }
 
@@ -165,8 +166,8 @@
 std::string referencePage()
 {
     std::string page(Introduction);
-    for (const PlaceInfo &place : places())
-        page += sectionOf(place);
+    for (const ScopeInfo &scope : scopes())
+        page += sectionText(scope);
     return page;
 }
 
--- a/src/snipestall/settings/reference_test.cpp
+++ b/src/snipestall/settings/reference_test.cpp
@@ -18,19 +18,19 @@
 TEST(SchemaTest, EveryDefaultIsAllowedAndCanonical)
 {
     for (const SettingInfo &setting : schema()) {
-        EXPECT_FALSE(setting.meaning.empty());
-        if (setting.byDefault.empty())
+        EXPECT_FALSE(setting.description.empty());
+        if (setting.defaultText.empty())
             continue;
         const auto value = defaultOf(setting);
         ASSERT_TRUE(value.has_value()) << setting.key;
-        EXPECT_EQ(toText(*value), setting.byDefault);
+        EXPECT_EQ(toText(*value), setting.defaultText);
     }
 }
 
 TEST(ReferenceTest, TheCommittedPageIsTheGeneratedOne)
 {
     EXPECT_EQ(readFile("docs/settings.md"), referencePage())
-        << "run: build/bin/snipestallctl reference > docs/settings.md";
+        << "run: build/bin/snipestallctl reference settings > docs/settings.md";
 }
 
 TEST(ReferenceTest, ExplainsPathsPatternsKeysAndSections)
@@ -53,7 +53,7 @@
 
 TEST(ExplainEffectiveTest, NamesTheLevelOfEveryValue)
 {
-    const auto tree = Tree::parse(example("karadeniz")).value();
+    const auto tree = Tree::parse(exampleYaml("karadeniz")).value();
     const auto values = explainEffective(tree, { "samsun-hall", "coastal-ferries", "language" });
     const std::string leaf = "customers/coastal-ferries/services/language/";
     EXPECT_EQ(valueAt(values, leaf + "weight").from, "customers/coastal-ferries");
@@ -65,7 +65,7 @@
 
 TEST(ExplainEffectiveTest, AgreesWithTheViewThatIsInForce)
 {
-    const auto tree = Tree::parse(example("midlands")).value();
+    const auto tree = Tree::parse(exampleYaml("midlands")).value();
     const auto view = tree.effective("derby-hall", 1);
     const auto values = explainEffective(tree, { "derby-hall", "", "" });
     for (const LeafSettings &leaf : view->leaves) {
--- a/src/snipestall/settings/resolver.cpp
+++ b/src/snipestall/settings/resolver.cpp
@@ -34,13 +34,13 @@
     return it->second;
 }
 
-std::string under(std::string_view section, std::string_view name)
+std::string sectionPath(std::string_view section, std::string_view name)
 {
     return joinPath(section, name);
 }
 
-std::string under(std::string_view section, std::string_view name, std::string_view part,
-                  std::string_view last)
+std::string sectionPath(std::string_view section, std::string_view name, std::string_view part,
+                        std::string_view last)
 {
     return joinPath(joinPath(joinPath(section, name), part), last);
 }
@@ -51,40 +51,42 @@
     : m_document(document)
 { }
 
-const SectionValues *Resolver::section(Place place, std::string path)
+const SectionValues *Resolver::section(Scope scope, std::string path)
 {
     const auto known = m_sections.find(path);
     if (known != m_sections.end())
         return &known->second;
-    SectionValues values(m_document, place, path);
+    SectionValues values(m_document, scope, path);
     return &m_sections.emplace(std::move(path), std::move(values)).first->second;
 }
 
 Chain Resolver::leaf(std::string_view dataCentre, std::string_view customer,
                      std::string_view service)
 {
-    return { section(Place::CustomerService, under("customers", customer, "services", service)),
-             section(Place::Customer, under("customers", customer)),
-             section(Place::DataCentre, under("data_centres", dataCentre)),
-             section(Place::Fleet, "fleet") };
+    return { section(Scope::CustomerService,
+                     sectionPath("customers", customer, "services", service)),
+             section(Scope::Customer, sectionPath("customers", customer)),
+             section(Scope::DataCentre, sectionPath("data_centres", dataCentre)),
+             section(Scope::Fleet, "fleet") };
 }
 
 Chain Resolver::service(std::string_view dataCentre, std::string_view service)
 {
-    return { section(Place::DataCentreService,
-                     under("data_centres", dataCentre, "services", service)),
-             section(Place::Service, under("services", service)) };
+    return { section(Scope::DataCentreService,
+                     sectionPath("data_centres", dataCentre, "services", service)),
+             section(Scope::Service, sectionPath("services", service)) };
 }
 
 Chain Resolver::instanceClass(std::string_view dataCentre, std::string_view name)
 {
-    return { section(Place::DataCentreClass, under("data_centres", dataCentre, "classes", name)),
-             section(Place::Class, under("classes", name)) };
+    return { section(Scope::DataCentreClass,
+                     sectionPath("data_centres", dataCentre, "classes", name)),
+             section(Scope::Class, sectionPath("classes", name)) };
 }
 
 Chain Resolver::fleet()
 {
-    return { section(Place::Fleet, "fleet") };
+    return { section(Scope::Fleet, "fleet") };
 }
 
 const Value &valueOf(const Chain &chain, std::string_view key)
--- a/src/snipestall/settings/resolver.hpp
+++ b/src/snipestall/settings/resolver.hpp
@@ -11,11 +11,11 @@
 
 namespace snipestall::settings {
 
-/// Sections from the most special to the most general.
+/// Sections in order of precedence, from the most specific to the most general.
 using Chain = std::vector<const SectionValues *>;
 
-/// The inheritance of one document: chains of sections, each section looked through once. Must not
-/// outlive the document.
+/// Builds the chains of inheritance of one document. Each section is indexed once and reused by all
+/// chains. Must not outlive the document; chains must not outlive the resolver.
 ///
 ///     Resolver resolver(document);
 ///     const Chain chain = resolver.leaf("samsun-hall", "kiyi", "language");
@@ -31,15 +31,16 @@
     Chain fleet();
 
 private:
-    const SectionValues *section(Place place, std::string path);
+    const SectionValues *section(Scope scope, std::string path);
 
     const Document &m_document;
     std::unordered_map<std::string, SectionValues> m_sections;
 };
 
-/// The value of the first section that says one, or else the schema's default.
+/// The value of the first section of the chain that sets the key, otherwise the schema's default.
+/// Throws Exception if the schema has none.
 const Value &valueOf(const Chain &chain, std::string_view key);
-/// The same with the section that it comes from.
+/// The same value with the path of the section that sets it.
 ResolvedValue resolve(const Chain &chain, std::string_view key);
 
 } // namespace snipestall::settings
--- a/src/snipestall/settings/schema_node.cpp
+++ b/src/snipestall/settings/schema_node.cpp
@@ -8,7 +8,7 @@
 namespace snipestall::settings {
 namespace {
 
-SchemaNode &grow(SchemaNode &node, std::string_view segment)
+SchemaNode &childFor(SchemaNode &node, std::string_view segment)
 {
     std::unique_ptr<SchemaNode> &slot =
         segment == "*" ? node.anyName : node.children[std::string(segment)];
@@ -17,22 +17,22 @@
     return *slot;
 }
 
-SchemaNode &growPath(SchemaNode &root, std::string_view pattern)
+SchemaNode &nodeFor(SchemaNode &root, std::string_view pattern)
 {
     SchemaNode *node = &root;
     for (const std::string &segment : splitPath(pattern))
-        node = &grow(*node, segment);
+        node = &childFor(*node, segment);
     return *node;
 }
 
-SchemaNode build()
+SchemaNode buildTree()
 {
     SchemaNode root;
-    for (const PlaceInfo &place : places()) {
-        growPath(root, place.pattern);
+    for (const ScopeInfo &scope : scopes()) {
+        nodeFor(root, scope.pattern);
         for (const SettingInfo &setting : schema()) {
-            if (contains(setting.places, place.place))
-                growPath(root, patternOf(setting, place.place)).setting = &setting;
+            if (contains(setting.scopes, scope.scope))
+                nodeFor(root, patternOf(setting, scope.scope)).setting = &setting;
         }
     }
     return root;
@@ -50,7 +50,7 @@
 
 const SchemaNode &schemaRoot()
 {
-    static const SchemaNode root = build();
+    static const SchemaNode root = buildTree();
     return root;
 }
 
--- a/src/snipestall/settings/schema_node.hpp
+++ b/src/snipestall/settings/schema_node.hpp
@@ -9,19 +9,20 @@
 
 namespace snipestall::settings {
 
-/// The schema table as a tree of path segments, the form in which a document is walked.
+/// A node of the schema as a tree of path segments, which the readers follow through a document.
 struct SchemaNode
 {
     std::map<std::string, std::unique_ptr<SchemaNode>, std::less<>> children;
-    /// What stands under any name that the operator chooses; null if names are fixed here.
+    /// Node of every name that the operator chooses; null if only fixed names are allowed here.
     std::unique_ptr<SchemaNode> anyName;
-    /// Set on leaves.
+    /// The setting of a leaf; null for a section.
     const SettingInfo *setting = nullptr;
 
-    /// The node of a segment; null if it isn't allowed here.
+    /// The node of a segment; null if the segment isn't allowed here.
     [[nodiscard]] const SchemaNode *child(std::string_view segment) const;
 };
 
+/// The root of the schema, built once.
 const SchemaNode &schemaRoot();
 
 } // namespace snipestall::settings
--- a/src/snipestall/settings/section_values.cpp
+++ b/src/snipestall/settings/section_values.cpp
@@ -4,8 +4,8 @@
 
 namespace snipestall::settings {
 
-SectionValues::SectionValues(const Document &document, Place place, std::string path)
-    : m_place(place)
+SectionValues::SectionValues(const Document &document, Scope scope, std::string path)
+    : m_scope(scope)
     , m_path(std::move(path))
 {
     const std::string prefix = m_path + "/";
--- a/src/snipestall/settings/section_values.hpp
+++ b/src/snipestall/settings/section_values.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "snipestall/settings/document.hpp"
-#include "snipestall/settings/place.hpp"
+#include "snipestall/settings/scope.hpp"
 
 #include <string>
 #include <string_view>
@@ -10,21 +10,22 @@
 
 namespace snipestall::settings {
 
-/// What one section of a document says, laid out to be asked many times. Refers to the document.
+/// The values of one section of a document, indexed for repeated lookups. Must not outlive the
+/// document, to which it refers.
 class SectionValues
 {
 public:
-    SectionValues(const Document &document, Place place, std::string path);
+    SectionValues(const Document &document, Scope scope, std::string path);
 
-    /// Null where the section says nothing.
+    /// The value of a key; null if the section does not set it.
     [[nodiscard]] const Value *find(std::string_view key) const;
-    [[nodiscard]] Place place() const { return m_place; }
+    [[nodiscard]] Scope scope() const { return m_scope; }
     [[nodiscard]] const std::string &path() const { return m_path; }
 
 private:
-    Place m_place;
+    Scope m_scope;
     std::string m_path;
-    /// By key.
+    /// Sorted by key.
     std::vector<std::pair<std::string_view, const Value *>> m_values;
 };
 
--- a/src/snipestall/settings/setting_info.cpp
+++ b/src/snipestall/settings/setting_info.cpp
@@ -19,10 +19,10 @@
 
 std::string rangeText(const SettingInfo &setting)
 {
-    const std::string_view from = setting.leastIncluded ? "from " : "above ";
-    const std::string_view to = setting.leastIncluded ? " to " : " up to ";
+    const std::string_view from = setting.minimumIncluded ? "from " : "above ";
+    const std::string_view to = setting.minimumIncluded ? " to " : " up to ";
     std::string text(from);
-    return text.append(toText(setting.least)).append(to).append(toText(setting.most));
+    return text.append(toText(setting.minimum)).append(to).append(toText(setting.maximum));
 }
 
 std::string choicesText(std::string_view choices)
@@ -45,14 +45,14 @@
     case ValueType::Number:
         return "a number " + rangeText(setting);
     case ValueType::Duration:
-        return "a duration with its unit (ms, s, min, h) from " + durationText(setting.least)
-            + " to " + durationText(setting.most);
+        return "a duration with its unit (ms, s, min, h) from " + durationText(setting.minimum)
+            + " to " + durationText(setting.maximum);
     case ValueType::Choice:
         return choicesText(setting.choices);
     case ValueType::Names:
-        return "a list of at most " + toText(setting.most) + " different names";
+        return "a list of at most " + toText(setting.maximum) + " different names";
     case ValueType::KeyHashes:
-        return "a list of at most " + toText(setting.most)
+        return "a list of at most " + toText(setting.maximum)
             + " different SHA-256 hashes, each 64 lower-case hex digits, never the key itself";
     }
     return {};
--- a/src/snipestall/settings/suggestion.cpp
+++ b/src/snipestall/settings/suggestion.cpp
@@ -7,8 +7,7 @@
 namespace snipestall::settings {
 namespace {
 
-/// Levenshtein distance.
-std::size_t distance(std::string_view a, std::string_view b)
+std::size_t levenshteinDistance(std::string_view a, std::string_view b)
 {
     std::vector<std::size_t> row(b.size() + 1);
     std::iota(row.begin(), row.end(), std::size_t { 0 });
@@ -26,17 +25,17 @@
 
 } // namespace
 
-std::string nearest(std::string_view text, std::span<const std::string> names)
+std::string nearestName(std::string_view text, std::span<const std::string> names)
 {
-    constexpr std::size_t LongestCompared = 64;
-    if (text.size() > LongestCompared)
+    constexpr std::size_t MaxComparedLength = 64;
+    if (text.size() > MaxComparedLength)
         return {};
     std::string best;
-    std::size_t least = std::max<std::size_t>(2, text.size() / 3) + 1;
+    std::size_t bestDistance = std::max<std::size_t>(2, text.size() / 3) + 1;
     for (const std::string &name : names) {
-        const std::size_t found = distance(text, name);
-        if (found < least) {
-            least = found;
+        const std::size_t candidateDistance = levenshteinDistance(text, name);
+        if (candidateDistance < bestDistance) {
+            bestDistance = candidateDistance;
             best = name;
         }
     }
--- a/src/snipestall/settings/suggestion.hpp
+++ b/src/snipestall/settings/suggestion.hpp
@@ -6,7 +6,7 @@
 
 namespace snipestall::settings {
 
-/// The name that was probably meant; empty if none is near.
-std::string nearest(std::string_view text, std::span<const std::string> names);
+/// The name most similar to a mistyped one; empty if none is similar enough.
+std::string nearestName(std::string_view text, std::span<const std::string> names);
 
 } // namespace snipestall::settings
--- a/src/snipestall/settings/test_settings.hpp
+++ b/src/snipestall/settings/test_settings.hpp
@@ -11,15 +11,15 @@
 
 namespace snipestall::settings {
 
-/// The least that passes the checks: one operator who can change it.
-inline constexpr const char *Minimal =
+/// The smallest valid document: one operator with a key.
+inline constexpr const char *MinimalYaml =
     "operators: {ayla: {key_hashes: "
     "[2c26b46b68ffc68ff99b453c1d30413413422d706483bfa0f98a5e886266e7ae]}}\n";
 
-/// A tree from a text that leaves the operators out.
-inline Tree parsed(const std::string &yaml)
+/// Parses a text without operators, to which MinimalYaml is added. Throws if it has a fault.
+inline Tree parseWithOperator(const std::string &yaml)
 {
-    auto tree = Tree::parse(Minimal + yaml);
+    auto tree = Tree::parse(MinimalYaml + yaml);
     if (!tree)
         throw std::invalid_argument(tree.error().front().path + ": " + tree.error().front().found);
     return std::move(*tree);
@@ -31,7 +31,7 @@
     return { std::istreambuf_iterator<char>(file), {} };
 }
 
-inline std::string example(const std::string &name)
+inline std::string exampleYaml(const std::string &name)
 {
     return readFile("examples/settings/" + name + ".yaml");
 }
--- a/src/snipestall/settings/tree.cpp
+++ b/src/snipestall/settings/tree.cpp
@@ -22,7 +22,8 @@
 
 namespace {
 
-/// A text that is no YAML section at all; what it lacks would only hide the one real fault.
+/// Whether the text is not a YAML section at all. Cross checks of such a text would report missing
+/// sections and hide the one real fault.
 bool isUnreadable(const std::vector<Fault> &faults)
 {
     return faults.size() == 1 && faults.front().path.empty();
@@ -34,13 +35,13 @@
 {
     if (auto document = readCanonical(yaml))
         return checkWith(std::move(*document), std::string(yaml));
-    ReadDocument read = readDocument(yaml);
+    ReadResult read = readDocument(yaml);
     if (read.faults.empty())
         return check(std::move(read.document));
     std::vector<Fault> faults = std::move(read.faults);
     if (!isUnreadable(faults)) {
-        const std::vector<Fault> between = crossCheck(read.document);
-        faults.insert(faults.end(), between.begin(), between.end());
+        const std::vector<Fault> crossFaults = crossCheck(read.document);
+        faults.insert(faults.end(), crossFaults.begin(), crossFaults.end());
     }
     return tl::unexpected(std::move(faults));
 }
--- a/src/snipestall/settings/tree_edits.cpp
+++ b/src/snipestall/settings/tree_edits.cpp
@@ -14,13 +14,13 @@
 namespace snipestall::settings {
 namespace {
 
-bool isPath(const std::vector<std::string> &segments)
+bool isValidPath(const std::vector<std::string> &segments)
 {
     const auto isEmpty = [](const std::string &segment) { return segment.empty(); };
     return !segments.empty() && std::none_of(segments.begin(), segments.end(), isEmpty);
 }
 
-/// Erases what stands at or under a path; how many entries that were.
+/// Erases the entries at or under a path and returns their number.
 template<typename Entries, typename PathOf>
 std::size_t eraseUnder(Entries &entries, const std::string &path, PathOf pathOf)
 {
@@ -28,7 +28,7 @@
     for (auto it = entries.lower_bound(path); it != entries.end();) {
         if (!pathOf(*it).starts_with(path))
             break;
-        const bool isUnder = pathsTouch(pathOf(*it), path);
+        const bool isUnder = pathsOverlap(pathOf(*it), path);
         it = isUnder ? entries.erase(it) : std::next(it);
         erased += isUnder ? 1 : 0;
     }
@@ -37,26 +37,29 @@
 
 std::size_t removeUnder(Document &document, const std::string &path)
 {
-    const auto own = [](const std::string &entity) -> const std::string & { return entity; };
-    const auto key = [](const auto &entry) -> const std::string & { return entry.first; };
-    return eraseUnder(document.entities, path, own) + eraseUnder(document.values, path, key);
+    const auto entityPath = [](const std::string &entity) -> const std::string & { return entity; };
+    const auto valuePath = [](const auto &entry) -> const std::string & { return entry.first; };
+    return eraseUnder(document.entities, path, entityPath)
+        + eraseUnder(document.values, path, valuePath);
 }
 
 std::vector<Fault> apply(Document &document, const Edit &edit)
 {
-    if (!isPath(splitPath(edit.path)))
+    if (!isValidPath(splitPath(edit.path)))
         return { { edit.path, "an empty name", "a path such as customers/NAME/weight" } };
     const std::size_t removed = removeUnder(document, edit.path);
     if (edit.value)
-        return readAt(document, edit.path, *edit.value);
+        return readInto(document, edit.path, *edit.value);
     if (removed == 0)
-        return { { edit.path, "nothing to take away", "a path that is set" } };
+        return { { edit.path, "nothing to remove", "a path that is set" } };
     return {};
 }
 
-/// Paths of a tree as text. Every named thing has a row of its own: an operator who edits a value
-/// of a customer that another has just removed must meet a conflict, not bring back a customer with
-/// that one value; the removal's row contains the edit's path, which is what `touch` looks for.
+/// Texts of a document's values by path, with an entry "{}" for every entity. The entity needs an
+/// entry of its own so that its removal is a difference whose path contains the paths of its
+/// values, which changesOverlap() detects: an operator who edits a value of a customer that another
+/// operator has just removed must get a conflict, otherwise the edit would recreate the customer
+/// with that one value.
 std::map<std::string, std::string> textByPath(const Document &document)
 {
     std::map<std::string, std::string> texts;
@@ -94,30 +97,30 @@
 
 std::vector<Difference> differences(const Tree &before, const Tree &after)
 {
-    const auto old = textByPath(before.document());
-    const auto fresh = textByPath(after.document());
+    const auto oldTexts = textByPath(before.document());
+    const auto newTexts = textByPath(after.document());
     std::set<std::string> paths;
-    for (const auto &entry : old)
+    for (const auto &entry : oldTexts)
         paths.insert(entry.first);
-    for (const auto &entry : fresh)
+    for (const auto &entry : newTexts)
         paths.insert(entry.first);
     std::vector<Difference> found;
     for (const std::string &path : paths) {
-        Difference difference { path, textAt(old, path), textAt(fresh, path) };
+        Difference difference { path, textAt(oldTexts, path), textAt(newTexts, path) };
         if (difference.before != difference.after)
             found.push_back(std::move(difference));
     }
     return found;
 }
 
-// A thing that went takes everything under it along, so edits below it would find nothing to take
-// away. Paths come in order, so a thing that came is there before its values are set.
+// Removing an entity removes everything under it, so edits under it would find nothing to remove
+// and fail. Paths are in order, so an added entity exists before its values are set.
 std::vector<Edit> editsBetween(const Tree &before, const Tree &after)
 {
     std::vector<Edit> edits;
     for (const Difference &difference : differences(before, after)) {
         const bool isUnderRemoved = std::any_of(edits.begin(), edits.end(), [&](const Edit &edit) {
-            return !edit.value && pathsTouch(edit.path, difference.path);
+            return !edit.value && pathsOverlap(edit.path, difference.path);
         });
         if (!isUnderRemoved)
             edits.push_back({ difference.path, difference.after });
@@ -129,7 +132,7 @@
 {
     return std::any_of(a.begin(), a.end(), [&](const Difference &theirs) {
         return std::any_of(b.begin(), b.end(),
-                           [&](const Edit &ours) { return pathsTouch(theirs.path, ours.path); });
+                           [&](const Edit &ours) { return pathsOverlap(theirs.path, ours.path); });
     });
 }
 
--- a/src/snipestall/settings/tree_random_test.cpp
+++ b/src/snipestall/settings/tree_random_test.cpp
@@ -37,15 +37,15 @@
     return choices.at(random.below(choices.size()));
 }
 
-// Whatever operators do in whatever order, each accepted version must read back as the same content
-// in every form, and the edits between two versions must lead from one to the other; a version that
-// doesn't would be refused by every instance that it is sent to.
+// Applies random edits in random order. Each accepted version must read back as the same content in
+// both forms of text, otherwise every instance that receives it would refuse it. The edits between
+// two versions must turn one into the other.
 TEST(TreeRandomTest, EveryAcceptedVersionReadsBackAsItself)
 {
     int accepted = 0;
     for (int seed = 1; seed <= Seeds; ++seed) {
         Random random(static_cast<std::uint64_t>(seed));
-        const Tree first = Tree::parse(example("karadeniz")).value();
+        const Tree first = Tree::parse(exampleYaml("karadeniz")).value();
         Tree tree = first;
         for (int i = 0; i < EditsPerSeed; ++i) {
             const std::array edits { randomEdit(random), randomEdit(random) };
@@ -63,11 +63,11 @@
     EXPECT_GT(accepted, Seeds);
 }
 
-// A file is cut in the middle, or a byte of it is damaged. Each such text must come back as faults
-// or as a tree, never as a crash of the instance that reads it.
+// A file is truncated, or one byte of it is damaged. Parsing such a text must give faults or a tree
+// and must never crash the instance that reads it.
 TEST(TreeRandomTest, DamagedTextsGiveFaultsOrATreeAndNothingElse)
 {
-    const std::string whole = example("midlands");
+    const std::string whole = exampleYaml("midlands");
     const std::string stored = Tree::parse(whole).value().toYaml();
     int faulty = 0;
     for (int seed = 1; seed <= Seeds; ++seed) {
--- a/src/snipestall/settings/tree_test.cpp
+++ b/src/snipestall/settings/tree_test.cpp
@@ -29,10 +29,10 @@
     return it == faults.end() ? nullptr : &*it;
 }
 
-TEST(TreeTest, BothDeploymentsOfTheExamplesPass)
+TEST(TreeTest, BothExampleDeploymentsAreValid)
 {
     for (const auto *name : { "karadeniz", "midlands" }) {
-        const auto tree = Tree::parse(example(name));
+        const auto tree = Tree::parse(exampleYaml(name));
         ASSERT_TRUE(tree.has_value()) << tree.error().front().path;
         EXPECT_EQ(tree->dataCentres().size(), 4U);
     }
@@ -41,9 +41,9 @@
 TEST(TreeTest, SameContentGivesSameBytesInAnyOrderAndUnit)
 {
     const auto a =
-        Tree::parse(std::string(Minimal) + "fleet: {weight: 2, latency: {deadline: 2s}}");
-    const auto b =
-        Tree::parse("fleet: {latency: {deadline: 2000ms}, weight: 2.0}\n" + std::string(Minimal));
+        Tree::parse(std::string(MinimalYaml) + "fleet: {weight: 2, latency: {deadline: 2s}}");
+    const auto b = Tree::parse("fleet: {latency: {deadline: 2000ms}, weight: 2.0}\n"
+                               + std::string(MinimalYaml));
     ASSERT_TRUE(a && b);
     EXPECT_EQ(a->toYaml(), b->toYaml());
     EXPECT_EQ(a->hash(), b->hash());
@@ -52,7 +52,7 @@
 
 TEST(TreeTest, EveryLevelInheritsAndMayOverride)
 {
-    const auto tree = parsed(R"(
+    const auto tree = parseWithOperator(R"(
 fleet: {weight: 2, latency: {first_token: 900ms, inter_token: 40ms}}
 data_centres:
   north: {share: 0.5, latency: {first_token: 800ms}, cost_preference: 0.1}
@@ -75,7 +75,7 @@
 
 TEST(TreeTest, LimitsAreDividedAndNeverSumToMore)
 {
-    const auto tree = parsed(R"(
+    const auto tree = parseWithOperator(R"(
 data_centres: {a: {share: 0.3}, b: {share: 0.3}, c: {share: 0.4}}
 services: {text: {models: [m]}}
 customers:
@@ -99,7 +99,7 @@
 
 TEST(TreeTest, ServicesAndClassesAreOverriddenPerDataCentre)
 {
-    const auto tree = Tree::parse(example("karadeniz"));
+    const auto tree = Tree::parse(exampleYaml("karadeniz"));
     const auto samsun = tree->effective("samsun-hall", 1);
     const auto trabzon = tree->effective("trabzon-hall", 1);
     EXPECT_EQ(samsun->service("language")->minServers, 5U);
@@ -114,7 +114,7 @@
     EXPECT_EQ(small.reclaimsPerHour, 0.4);
 }
 
-TEST(TreeTest, EveryFaultInOneGoWithItsPathAndWhatIsAllowed)
+TEST(TreeTest, ReportsEveryFaultWithItsPathAndAllowedValues)
 {
     const auto faults = faultsOf(R"(
 fleet: {weigth: 2, latency: {first_token: 1200}}
@@ -135,9 +135,9 @@
     EXPECT_NE(faultAt(faults, "operators"), nullptr);
 }
 
-// An operator pastes a bearer key where its hash belongs. The refusal is printed, logged and kept
-// in terminal histories, so it must not carry the key.
-TEST(TreeTest, AFaultNeverShowsWhatStandsInASecretsPlace)
+// An operator enters a bearer key instead of its hash. The fault is printed, logged and kept in
+// terminal histories, so it must not contain the key.
+TEST(TreeTest, AFaultNeverShowsTheValueOfASecret)
 {
     for (const auto *value : { "[my-plain-key]", "my-plain-key", "{my-plain-key: 1}" }) {
         const auto faults =
@@ -167,9 +167,9 @@
     EXPECT_EQ(faults[0].path, "customers/kiyi/key_hashes");
 }
 
-TEST(TreeEditsTest, SetsAndTakesAwayValuesAndSections)
+TEST(TreeEditsTest, SetsAndRemovesValuesAndSections)
 {
-    const auto tree = parsed("fleet: {weight: 2}\n");
+    const auto tree = parseWithOperator("fleet: {weight: 2}\n");
     const std::vector<Edit> edits {
         { "fleet/weight", std::nullopt },
         { "fleet/latency/deadline", "9s" },
@@ -185,9 +185,9 @@
                             "fleet/weight"));
 }
 
-TEST(TreeEditsTest, FaultyEditsAreAllNamed)
+TEST(TreeEditsTest, EveryFaultyEditIsReported)
 {
-    const auto tree = parsed("fleet: {weight: 2}\n");
+    const auto tree = parseWithOperator("fleet: {weight: 2}\n");
     const std::vector<Edit> edits {
         { "fleet/weight/x", "1" },      { "fleet/latency", std::nullopt },
         { "fleet//weight", "1" },       { "fleet/cost_preference", "7" },
@@ -198,24 +198,26 @@
     EXPECT_EQ(edited.error().size(), edits.size());
 }
 
-// An operator mistypes a customer's name in a path. Made as a new customer with that one value, the
-// limit that was meant would stay as it is while the command says that it was changed.
-TEST(TreeEditsTest, AMistypedNameMakesNoNewCustomer)
+// An operator mistypes a customer's name in a path. If the edit created a new customer with that
+// one value, the limit of the intended customer would stay unchanged while the command reports
+// success.
+TEST(TreeEditsTest, AMistypedNameCreatesNoCustomer)
 {
-    const auto tree = parsed("customers: {kiyi: {weight: 2}}\n");
+    const auto tree = parseWithOperator("customers: {kiyi: {weight: 2}}\n");
     const std::vector<Edit> mistyped { { "customers/kiy/weight", "4" } };
     const auto refused = withEdits(tree, mistyped);
     ASSERT_FALSE(refused.has_value());
     EXPECT_THAT(refused.error().front().allowed, HasSubstr("did you mean kiyi?"));
-    const std::vector<Edit> meant { { "customers/kiy", "{}" }, { "customers/kiy/weight", "4" } };
-    EXPECT_TRUE(withEdits(tree, meant).has_value());
+    const std::vector<Edit> suggestion { { "customers/kiy", "{}" },
+                                         { "customers/kiy/weight", "4" } };
+    EXPECT_TRUE(withEdits(tree, suggestion).has_value());
 }
 
-// The stored form is read by a faster reader that keeps the last of two equal names. A text that
-// only resembles the stored form must still be refused with its fault.
+// The canonical form is read by a faster reader, which keeps the last of two equal names. A text
+// that only resembles the canonical form must still be refused with its fault.
 TEST(TreeTest, ATextLikeTheCanonicalOneIsCheckedLikeAnyOther)
 {
-    const auto tree = parsed("fleet: {weight: 2}\n");
+    const auto tree = parseWithOperator("fleet: {weight: 2}\n");
     std::string twice = tree.toYaml();
     const std::string value = "\"weight\":\"2\"";
     twice.replace(twice.find(value), value.size(), "\"weight\":\"3\"," + value);
@@ -226,10 +228,10 @@
     EXPECT_EQ(Tree::parse(tree.toReadableYaml())->hash(), tree.hash());
 }
 
-TEST(TreeEditsTest, EditsBetweenTwoTreesLeadFromOneToTheOther)
+TEST(TreeEditsTest, EditsBetweenTwoTreesTurnOneIntoTheOther)
 {
-    const auto a = Tree::parse(example("karadeniz")).value();
-    const auto b = Tree::parse(example("midlands")).value();
+    const auto a = Tree::parse(exampleYaml("karadeniz")).value();
+    const auto b = Tree::parse(exampleYaml("midlands")).value();
     for (const auto &[from, to] : { std::pair(a, b), std::pair(b, a) }) {
         const auto made = withEdits(from, editsBetween(from, to));
         ASSERT_TRUE(made.has_value()) << made.error().front().path;
@@ -238,11 +240,12 @@
     EXPECT_TRUE(editsBetween(a, a).empty());
 }
 
-// One operator removes a customer while another changes a value of it. If the second change were
-// rebased, the customer would come back with nothing but that one value; it must be a conflict.
-TEST(TreeEditsTest, ARemovedCustomerTouchesEditsOfItsValues)
+// One operator removes a customer while another changes a value of it. The second change must be a
+// conflict, otherwise it would recreate the customer with only that one value.
+TEST(TreeEditsTest, RemovingACustomerConflictsWithEditsOfItsValues)
 {
-    const auto before = parsed("customers: {kiyi: {limits: {concurrency: 3}}, other: {}}\n");
+    const auto before =
+        parseWithOperator("customers: {kiyi: {limits: {concurrency: 3}}, other: {}}\n");
     const std::vector<Edit> removal { { "customers/kiyi", std::nullopt } };
     const auto theirs = differences(before, withEdits(before, removal).value());
     const std::vector<Edit> ours { { "customers/kiyi/weight", "2" } };
--- a/src/snipestall/settings/value.cpp
+++ b/src/snipestall/settings/value.cpp
@@ -18,10 +18,11 @@
 
 std::string TextWriter::operator()(double value) const
 {
-    constexpr double LeastPlain = 1e-6;
-    constexpr double MostPlain = 1e15;
-    const bool isPlain = value == 0 || (value >= LeastPlain && value < MostPlain);
-    const auto format = isPlain ? std::chars_format::fixed : std::chars_format::scientific;
+    // Numbers in this range are written without an exponent.
+    constexpr double MinFixed = 1e-6;
+    constexpr double MaxFixed = 1e15;
+    const bool isFixed = value == 0 || (value >= MinFixed && value < MaxFixed);
+    const auto format = isFixed ? std::chars_format::fixed : std::chars_format::scientific;
     std::array<char, 64> buffer {};
     char *const begin = buffer.data();
     const auto [end, error] = std::to_chars(begin, begin + buffer.size(), value, format);
--- a/src/snipestall/settings/value_reader.cpp
+++ b/src/snipestall/settings/value_reader.cpp
@@ -8,9 +8,9 @@
 namespace snipestall::settings {
 namespace {
 
-constexpr std::size_t HashLength = 64;
-constexpr std::size_t NameLength = 64;
-constexpr std::size_t ModelLength = 128;
+constexpr std::size_t HashDigits = 64;
+constexpr std::size_t MaxNameLength = 64;
+constexpr std::size_t MaxModelNameLength = 128;
 constexpr std::string_view LowerHex = "0123456789abcdef";
 constexpr std::string_view NameCharacters = "abcdefghijklmnopqrstuvwxyz0123456789-_.";
 constexpr std::string_view ModelCharacters =
@@ -41,9 +41,9 @@
 
 bool inRange(const SettingInfo &setting, double number)
 {
-    if (number > setting.most)
+    if (number > setting.maximum)
         return false;
-    return setting.leastIncluded ? number >= setting.least : number > setting.least;
+    return setting.minimumIncluded ? number >= setting.minimum : number > setting.minimum;
 }
 
 std::optional<Value> readFlag(const SettingInfo &, std::string_view text)
@@ -115,26 +115,26 @@
     ReaderOfType { ValueType::Choice, readChoice },
 };
 
-bool onlyOf(std::string_view text, std::string_view characters)
+bool consistsOf(std::string_view text, std::string_view characters)
 {
     return text.find_first_not_of(characters) == std::string_view::npos;
 }
 
 bool isHash(std::string_view text)
 {
-    return text.size() == HashLength && onlyOf(text, LowerHex);
+    return text.size() == HashDigits && consistsOf(text, LowerHex);
 }
 
-bool isModel(std::string_view text)
+bool isModelName(std::string_view text)
 {
-    return !text.empty() && text.size() <= ModelLength && onlyOf(text, ModelCharacters);
+    return !text.empty() && text.size() <= MaxModelNameLength && consistsOf(text, ModelCharacters);
 }
 
 } // namespace
 
 bool isName(std::string_view text)
 {
-    return !text.empty() && text.size() <= NameLength && onlyOf(text, NameCharacters)
+    return !text.empty() && text.size() <= MaxNameLength && consistsOf(text, NameCharacters)
         && text.front() != '-' && text.front() != '_' && text.front() != '.';
 }
 
@@ -149,8 +149,8 @@
 
 std::optional<Value> readList(const SettingInfo &setting, std::vector<std::string> texts)
 {
-    const auto isItem = setting.type == ValueType::KeyHashes ? isHash : isModel;
-    if (static_cast<double>(texts.size()) > setting.most)
+    const auto isItem = setting.type == ValueType::KeyHashes ? isHash : isModelName;
+    if (static_cast<double>(texts.size()) > setting.maximum)
         return std::nullopt;
     if (!std::all_of(texts.begin(), texts.end(), isItem))
         return std::nullopt;
@@ -164,7 +164,7 @@
 {
     if (isList(setting))
         return Value(std::vector<std::string> {});
-    return setting.byDefault.empty() ? std::nullopt : readScalar(setting, setting.byDefault);
+    return setting.defaultText.empty() ? std::nullopt : readScalar(setting, setting.defaultText);
 }
 
 } // namespace snipestall::settings
--- a/src/snipestall/settings/value_reader.hpp
+++ b/src/snipestall/settings/value_reader.hpp
@@ -10,10 +10,10 @@
 
 namespace snipestall::settings {
 
-/// The value that a text stands for; nothing if the schema doesn't allow it.
+/// Converts a text, or the items of a list, to a value. Empty if the schema doesn't allow it.
 std::optional<Value> readScalar(const SettingInfo &setting, std::string_view text);
 std::optional<Value> readList(const SettingInfo &setting, std::vector<std::string> texts);
-/// The value that holds where no level says anything; nothing if the setting has none.
+/// The default of a setting; empty if it has none. A list defaults to the empty list.
 std::optional<Value> defaultOf(const SettingInfo &setting);
 
 [[nodiscard]] inline bool isList(const SettingInfo &setting)
@@ -21,7 +21,8 @@
     return setting.type == ValueType::Names || setting.type == ValueType::KeyHashes;
 }
 
-/// Lower-case letters, digits, '-', '_' and '.', first a letter or digit, at most 64.
+/// Whether a text is a valid name: at most 64 lower-case letters, digits, '-', '_' and '.', the
+/// first of them a letter or a digit.
 bool isName(std::string_view text);
 
 } // namespace snipestall::settings
