--- a/include/snipestall/peer/audit_record.hpp
+++ b/include/snipestall/peer/audit_record.hpp
@@ -9,7 +9,8 @@
 
 namespace snipestall::peer {
 
-/// One accepted change, written in the same transaction as the change itself.
+/// Audit entry of one accepted settings change. It is written in the same transaction as the
+/// change itself.
 struct AuditRecord
 {
     std::string changeId;
--- a/include/snipestall/peer/claim_keeper.hpp
+++ b/include/snipestall/peer/claim_keeper.hpp
@@ -22,49 +22,57 @@
 
 namespace snipestall::peer {
 
+/// A request for the permission to send a non-idempotent request once.
 struct ClaimRequest
 {
     ClaimKey key;
+    /// Ids of the request and of the attempt that is to be sent.
     std::string request;
     std::string attempt;
+    /// Hash of the request body, by which a repeat with another body is recognized.
     std::string bodyHash;
-    /// Past this the claim is worth nothing to its caller and must settle as Unsettled.
+    /// After this time the caller can no longer use the claim, so it must end as Unsettled.
     std::chrono::steady_clock::time_point deadline;
 };
 
+/// Batching, rate and retry parameters of a ClaimKeeper.
 struct ClaimOptions
 {
-    /// How long claims gather before they are written in one transaction.
+    /// How long claims are collected before they are written in one transaction.
     std::chrono::milliseconds batchWindow { 5 };
-    /// A claim's row is about 350 bytes, so that a full batch stays under 100 KB; with 64 the share
-    /// of writes below would cap an instance at 1,600 rows a second.
+    /// Most claims in one transaction. A claim's row is about 350 bytes, so a full batch stays
+    /// under 100 KB. With 64 claims, writesPerSecond below would cap an instance at 1,600 rows a
+    /// second.
     std::size_t maxBatch = 256;
-    /// How long outcomes and marks gather. Nobody waits for them but a repeat; what is lost by
-    /// waiting is that a repeat hears "unknown" if the instance dies within this time.
+    /// How long outcomes and abandon marks are collected before they are written. Only a repeat
+    /// waits for them. The cost of the delay is that a repeat is answered "unknown" if the instance
+    /// crashes within this time.
     std::chrono::milliseconds updateWindow { 25 };
-    /// Rows are kept this long, then removed in batches.
+    /// Rows are kept this long and then removed in batches.
     std::chrono::hours lifetime { 24 };
-    /// Transactions of one instance under way at once: a slow table then holds up one batch, not
-    /// all, and an instance can't fill the table's write budget with waiting work.
+    /// Most concurrent transactions of one instance. Several allow a slow call to delay one batch
+    /// and not all; the limit keeps an instance from filling the table's write budget with waiting
+    /// work.
     std::size_t maxInFlight = 4;
-    /// Transactions a second that this instance may ask of the table, with short bursts above it; 0
-    /// for no limit. When they are used up claims gather into larger batches. 25 is the share of
-    /// one of eight instances in 200 writes a second.
+    /// Transactions a second that this instance may send to the table, with short bursts above it;
+    /// 0 means no limit. When they are used up, claims are collected into larger batches. 25 is the
+    /// share of one of eight instances in 200 writes a second.
     double writesPerSecond = 25;
-    /// First and longest pause before the table is asked again. Claims queue behind those that are
-    /// tried again, so the longest bounds how late they notice that the table is back; what paces
-    /// the calls of an outage is the platform client's circuit.
-    std::chrono::milliseconds firstPause { 20 };
-    std::chrono::milliseconds longestPause { 250 };
+    /// Initial and maximum delay before a failed table call is retried. New claims queue behind
+    /// those that are retried, so the maximum bounds how late they notice that the table is
+    /// available again. The platform client's circuit breaker limits the call rate in an outage.
+    std::chrono::milliseconds initialBackoff { 20 };
+    std::chrono::milliseconds maxBackoff { 250 };
 };
 
+/// Totals since the start of a ClaimKeeper, except outcomesPending, which is a current count.
 struct ClaimCounters
 {
     std::uint64_t claims = 0;
     std::uint64_t transactions = 0;
     std::uint64_t settledByReading = 0;
     std::uint64_t abandoned = 0;
-    /// Rows written or deleted, by every transaction that this keeper asked for.
+    /// Rows written or deleted by all transactions that this keeper has sent.
     std::uint64_t rowWrites = 0;
     std::uint64_t reads = 0;
     std::uint64_t granted = 0;
@@ -75,15 +83,16 @@
     std::uint64_t rowsExpired = 0;
 };
 
-/// Conditional inserts of (customer, service, key) into the platform's table, many in one
-/// transaction, so that platform writes follow batches and not requests. The row is the permission
-/// to send: whoever inserted it may send once, nobody else ever. Rows:
+/// Inserts claims, keyed by (customer, service, idempotency key), conditionally into the platform's
+/// table. Many claims share one transaction, so that the number of platform writes grows with
+/// batches and not with requests. The row is the permission to send: the attempt that inserted it
+/// may send once, and no other attempt may ever send. Rows:
 ///
 ///     claims/<sha256 of key>           {"request":..,"attempt":..,"token":..,"body":..,"state":..}
 ///     claim-batches/<hour>/<batch>     the claim rows that one transaction wrote
 ///
-/// A claim's row has one name for its whole life, so a repeat finds it in whatever hour; expiry
-/// goes by the batch rows of an hour. See docs/design/at-most-once.md.
+/// A claim's row keeps one key for its whole lifetime, so a repeat finds it in any hour. Expiry
+/// works through the batch rows hour by hour. See docs/design/at-most-once.md.
 class ClaimKeeper
 {
 public:
@@ -92,19 +101,22 @@
                                                std::string instance, ClaimOptions options = {});
     ~ClaimKeeper();
 
+    /// Returns by the deadline of the request at the latest.
     wire::Task<ClaimOutcome> claim(ClaimRequest request);
-    /// Stores what came of a granted claim; retried in the background until the table takes it.
+    /// Stores the outcome of a granted claim. The write is retried in the background until the
+    /// table has accepted it.
     void storeOutcome(const ClaimKey &key, std::string attempt, StoredOutcome outcome);
-    /// Takes back a grant that was not used: no byte of the attempt has left and none ever will.
-    /// The key is free for the next claimer once the table has taken the mark, which is retried in
-    /// the background; until then a repeat sees it as held.
+    /// Releases a grant that was not used: no byte of the attempt has been sent and none ever will
+    /// be. The row is marked as abandoned, retried in the background; the next claimer may have the
+    /// key once the table has accepted the mark. Until then a repeat sees the key as held.
     void giveBack(const ClaimKey &key, std::string attempt);
-    /// What is known of a key; nothing if no row is there; Unavailable if the table is down.
+    /// The stored claim of a key, or no value if there is no row or its claim was abandoned.
+    /// Unavailable if the table is down.
     wire::Task<Result<std::optional<ClaimOutcome>>> lookup(ClaimKey key);
-    /// Removes rows older than the lifetime, at most one batch a call. Run now and then.
+    /// Removes rows older than the lifetime, at most one batch a call. To be called periodically.
     wire::Task<void> removeExpired();
 
-    /// Sets ClaimOptions::writesPerSecond anew: the share grows and shrinks with the number of
+    /// Changes ClaimOptions::writesPerSecond. The share of one instance depends on the number of
     /// instances.
     void limitWrites(double perSecond);
     [[nodiscard]] ClaimCounters counters() const;
--- a/include/snipestall/peer/claim_key.hpp
+++ b/include/snipestall/peer/claim_key.hpp
@@ -5,7 +5,7 @@
 
 namespace snipestall::peer {
 
-/// What a caller may have run at most once.
+/// Identifies a non-idempotent request, which may be executed at most once.
 struct ClaimKey
 {
     std::string customer;
--- a/include/snipestall/peer/claim_outcome.hpp
+++ b/include/snipestall/peer/claim_outcome.hpp
@@ -7,23 +7,28 @@
 
 namespace snipestall::peer {
 
+/// Result of a claim.
 enum class ClaimVerdict {
     /// This attempt, and no other, may be sent.
     Granted,
-    /// Another attempt holds the key: it may have run, or has an outcome.
+    /// Another attempt holds the key. It may have been executed, or its outcome is stored.
     Held,
-    /// The table did not settle the write in time: never to be sent; answer not-run.
+    /// The table did not confirm the write in time. The request must never be sent and is answered
+    /// with "not-run".
     Unsettled,
 };
 
+/// Verdict on a claim and, if another attempt holds the key, what the table stores about it.
 struct ClaimOutcome
 {
     ClaimVerdict verdict = ClaimVerdict::Unsettled;
-    /// Held: the request and attempt that hold it, and what came of it if that is known.
+    /// Held: the request and the attempt that hold the key.
     std::string holderRequest;
     std::string holderAttempt;
-    /// Held: hash of the holder's body; a repeat with another body is a caller's mistake.
+    /// Held: hash of the holder's request body. A repeat with another body is an error of the
+    /// caller.
     std::string bodyHash;
+    /// Held: the holder's outcome, if it is known.
     std::optional<StoredOutcome> outcome;
 };
 
--- a/include/snipestall/peer/crash_report.hpp
+++ b/include/snipestall/peer/crash_report.hpp
@@ -5,7 +5,7 @@
 
 namespace snipestall::peer {
 
-/// A request was in flight on a backend server that died.
+/// States that a request, by its fingerprint, was in flight on a backend server that crashed.
 struct CrashReport
 {
     std::uint64_t fingerprint = 0;
--- a/include/snipestall/peer/forward_call.hpp
+++ b/include/snipestall/peer/forward_call.hpp
@@ -8,13 +8,14 @@
 
 namespace snipestall::peer {
 
-/// The sender's end of a forwarded request. Destroying it before its end cancels the call.
+/// The sender's side of a forwarded request. Destroying it before the last event cancels the call.
 class ForwardCall
 {
 public:
     virtual ~ForwardCall() = default;
 
-    /// Next event; nothing after the last; OutcomeUnknown if the peer was lost.
+    /// The next event, or no value after the last one. OutcomeUnknown if the connection to the peer
+    /// was lost.
     virtual wire::Task<Result<std::optional<v1::ForwardEvent>>> read() = 0;
     virtual void cancel() = 0;
 };
--- a/include/snipestall/peer/member.hpp
+++ b/include/snipestall/peer/member.hpp
@@ -9,22 +9,24 @@
 
 namespace snipestall::peer {
 
+/// State of an instance as another instance sees it.
 enum class MemberState {
-    /// Named by the settings or the platform, never heard.
+    /// Named by the settings or the platform, but no heartbeat has been received yet.
     Known,
     Live,
-    /// Silent for longer than its term, as seen from here.
+    /// This instance has received no heartbeat from it for longer than the term.
     Suspected,
-    /// It said so, or the platform did: sticky for this incarnation.
+    /// The instance itself or the platform has announced that it is leaving. Never reverted for the
+    /// same incarnation.
     Leaving,
 };
 
-/// One instance as this one sees it.
+/// What this instance knows of another one.
 struct Member
 {
     std::string name;
     std::string dataCentre;
-    /// Where it listens for peers, IP:PORT.
+    /// Address at which it listens for peers, IP:PORT.
     std::string address;
     std::uint64_t incarnation = 0;
     MemberState state = MemberState::Known;
--- a/include/snipestall/peer/membership.hpp
+++ b/include/snipestall/peer/membership.hpp
@@ -11,7 +11,7 @@
 
 namespace snipestall::peer {
 
-/// What a heartbeat, or the answer to one, tells of its sender.
+/// State of the sender of a heartbeat or of the reply to one.
 struct Heartbeat
 {
     std::string name;
@@ -20,15 +20,16 @@
     bool leaving = false;
     std::uint64_t settingsVersion = 0;
     std::vector<PoolLoad> pools;
-    /// Where it listens for peers; empty if it does not say.
+    /// Address at which the sender listens for peers; empty if it does not state one.
     std::string address {};
 };
 
-/// Who lives and who leaves, as one instance sees it: soft state, nothing is agreed. A member
-/// silent for `term` is suspected here only; cut off, an instance goes on with those it hears.
+/// The live and leaving instances as one instance sees them: soft state without consensus. A member
+/// that has not reported for `term` is suspected by this instance only. An instance that is cut off
+/// goes on with the members whose heartbeats it still receives.
 ///
-/// Cost per instance grows with the members of its own data centre and a few links to each other
-/// one, never with all instances.
+/// The cost per instance grows with the number of members of its own data centre and with a few
+/// links to each other data centre, never with the number of all instances.
 class Membership
 {
 public:
@@ -36,19 +37,25 @@
 
     Membership(std::string self, std::string dataCentre, std::chrono::milliseconds term);
 
-    /// A hint from the settings or the platform's list: only ever adds a member or its address.
+    /// Adds a member or its address from the settings or the platform's list. This is only a hint:
+    /// it never changes a member's state.
     void learn(const std::string &name, const std::string &dataCentre, const std::string &address);
-    void heard(const Heartbeat &heartbeat, std::chrono::steady_clock::time_point now);
-    /// Holds for that incarnation for good: a lagging list can't bring it back.
+    /// Applies a heartbeat that was received at `now`. A heartbeat of a former incarnation is
+    /// ignored.
+    void heartbeatReceived(const Heartbeat &heartbeat, std::chrono::steady_clock::time_point now);
+    /// Marks a member as leaving if it still has that incarnation. The mark is permanent for the
+    /// incarnation, so that an outdated list can't make the member live again.
     void markLeaving(const std::string &name, std::uint64_t incarnation);
+    /// Suspects live members that have not reported for longer than the term.
     void tick(std::chrono::steady_clock::time_point now);
 
     void setSelfLeaving() { m_selfLeaving = true; }
     [[nodiscard]] bool selfLeaving() const { return m_selfLeaving; }
 
-    /// Live members of this data centre that may own backend servers; itself too unless it leaves.
+    /// Live members of this data centre that may own backend servers, including this instance
+    /// unless it is leaving.
     [[nodiscard]] std::vector<std::string> owners() const;
-    /// Live members of this data centre but itself.
+    /// Live members of this data centre except this instance.
     [[nodiscard]] std::vector<std::string> livePeers() const;
     [[nodiscard]] std::vector<std::string> membersOf(std::string_view dataCentre) const;
     [[nodiscard]] const Member *find(std::string_view name) const;
@@ -59,11 +66,11 @@
     [[nodiscard]] const std::string &self() const { return m_self; }
     [[nodiscard]] const std::string &dataCentre() const { return m_dataCentre; }
 
-    /// Runs at each change of a member's state or incarnation.
+    /// Adds a listener that is called at each change of a member's state or incarnation.
     void subscribe(Listener listener) { m_listeners.push_back(std::move(listener)); }
 
 private:
-    void change(Member &member, MemberState state, bool reborn = false);
+    void change(Member &member, MemberState state, bool isNewIncarnation = false);
 
     std::string m_self;
     std::string m_dataCentre;
--- a/include/snipestall/peer/peer_client.hpp
+++ b/include/snipestall/peer/peer_client.hpp
@@ -14,8 +14,8 @@
 
 class ForwardCall;
 
-/// gRPC channel to one peer. Calls resume on the loop's thread. Any failure is OutcomeUnknown:
-/// gRPC does not tell whether the peer has seen the call.
+/// gRPC channel to one peer. Calls resume on the event loop's thread. Every failure is
+/// OutcomeUnknown, because gRPC does not report whether the peer has received the call.
 class PeerClient
 {
 public:
--- a/include/snipestall/peer/peer_handler.hpp
+++ b/include/snipestall/peer/peer_handler.hpp
@@ -9,7 +9,7 @@
 
 class ForwardSink;
 
-/// What this instance does for its peers. Every call runs on the loop's thread.
+/// Handles the calls of peers. Every method is called on the event loop's thread.
 class PeerHandler
 {
 public:
--- a/include/snipestall/peer/peer_network.hpp
+++ b/include/snipestall/peer/peer_network.hpp
@@ -22,31 +22,35 @@
 class SettingsKeeper;
 struct Heartbeat;
 
-/// A backend server that leaves, for the sticky word that peers pass on.
+/// A backend server that is leaving. Peers pass this on in heartbeats, and it is permanent for the
+/// incarnation.
 struct LeavingServer
 {
     std::string server;
     std::uint64_t incarnation = 0;
 };
 
+/// Timing and reach of heartbeats.
 struct PeerNetworkOptions
 {
     std::chrono::milliseconds interval { 1000 };
+    /// Timeout of one heartbeat call.
     std::chrono::milliseconds timeout { 800 };
     /// Members of each other data centre that this instance exchanges heartbeats with.
     std::size_t linksPerDataCentre = 2;
-    /// Where this instance listens for peers, told in each heartbeat: a peer that was first heard
-    /// of by its own call can be called back while the platform's list is down.
+    /// Address at which this instance listens for peers. It is sent in each heartbeat, so that a
+    /// receiver that did not know this instance can call it back while the platform's list is down.
     std::string ownAddress {};
 };
 
-/// Channels to peers and the heartbeats on them: each member of the own data centre once an
-/// interval (either side's call serves both), a few of each other one. Newer settings that a peer
-/// has are fetched at once, so that a data centre cut from the platform still hears of them.
+/// Channels to peers and the heartbeats on them. Heartbeats are exchanged once an interval with
+/// each member of this instance's data centre (a call of either side serves both) and with a few
+/// members of each other data centre. Newer settings that a peer has are fetched at once, so that a
+/// data centre without a connection to the platform still receives them.
 class PeerNetwork
 {
 public:
-    /// What the entry layer adds to and takes from heartbeats.
+    /// Callbacks by which the entry layer supplies and receives the contents of heartbeats.
     struct Hooks
     {
         std::function<std::vector<PoolLoad>()> pools;
@@ -54,8 +58,8 @@
         std::function<void(const LeavingServer &)> onLeavingServer;
         std::function<std::vector<CrashReport>()> crashes;
         std::function<void(const CrashReport &)> onCrash;
-        /// A peer's state has just been taken in.
-        std::function<void(const std::string &name)> onHeard;
+        /// Called after the state in a peer's heartbeat or reply has been applied.
+        std::function<void(const std::string &name)> onHeartbeatApplied;
     };
 
     PeerNetwork(boost::asio::io_context &io, Membership &members, SettingsKeeper &settings,
@@ -64,23 +68,24 @@
 
     void start();
     void stop();
-    /// A heartbeat to all at once: for news that can't wait, such as a notice.
+    /// Sends a heartbeat to all targets at once, for changes that can't wait for the next interval,
+    /// such as a notice.
     void announce();
 
-    /// The channel to a member; null if its address is unknown.
+    /// The client for a member, or null if its address is unknown.
     PeerClient *client(const std::string &name);
-    /// The receiving side.
+    /// Handles a heartbeat of a peer.
     v1::HeartbeatReply onHeartbeat(const v1::HeartbeatRequest &request);
 
 private:
-    wire::Task<void> loop();
+    wire::Task<void> heartbeatLoop();
     wire::Task<void> exchange(std::string name);
     wire::Task<void> fetchSettings(std::string name);
-    void round(bool all);
+    void sendHeartbeats(bool all);
     [[nodiscard]] std::vector<std::string> targets() const;
     v1::HeartbeatRequest makeHeartbeat() const;
     template<typename Message>
-    void takeIn(const Message &message, const Heartbeat &heartbeat);
+    void applyHeartbeat(const Message &message, const Heartbeat &heartbeat);
 
     boost::asio::io_context &m_io;
     Membership &m_members;
--- a/include/snipestall/peer/peer_server.hpp
+++ b/include/snipestall/peer/peer_server.hpp
@@ -11,11 +11,12 @@
 
 class PeerHandler;
 
-/// gRPC listener for peers. gRPC's own threads only carry bytes: each call is posted to the loop.
+/// gRPC listener for peers. gRPC's threads only transfer bytes; each call is posted to the event
+/// loop.
 class PeerServer
 {
 public:
-    /// Unavailable if the address can't be listened on.
+    /// Unavailable if the server can't listen on the address.
     static Result<std::unique_ptr<PeerServer>>
     create(boost::asio::io_context &io, const wire::Endpoint &listen, PeerHandler &handler);
     ~PeerServer();
--- a/include/snipestall/peer/pool_load.hpp
+++ b/include/snipestall/peer/pool_load.hpp
@@ -8,7 +8,7 @@
 
 namespace snipestall::peer {
 
-/// What one instance can take for one service, as it travels in heartbeats.
+/// Load and spare capacity of one instance for one service, as sent in heartbeats.
 struct PoolLoad
 {
     std::string service;
@@ -17,7 +17,7 @@
     std::uint32_t servers = 0;
     std::chrono::milliseconds wait {};
     std::vector<std::uint32_t> prefixSketch;
-    // The rest as in policy::PoolSummary, which says what each is for.
+    // The fields below are those of policy::PoolSummary, where they are documented.
     std::vector<std::uint64_t> quarantined {};
     std::uint32_t urgentFreeSlots = 0;
     std::optional<std::chrono::milliseconds> urgentWait {};
--- a/include/snipestall/peer/record_keeper.hpp
+++ b/include/snipestall/peer/record_keeper.hpp
@@ -17,37 +17,41 @@
 class PeerNetwork;
 class RecordSource;
 
-/// Copies of accepted requests, so that one outlives the instance that accepted it.
+/// Replicates accepted requests, so that a request survives the instance that accepted it.
 ///
-/// As home: hold() returns once the buddy (rendezvous on the request id over the live members of
-/// the data centre) has everything the request has so far; output is shown to the caller only
-/// then, so that a caller who comes back to the buddy never finds it behind what it has read.
-/// Copies to one buddy travel in batches: while one is under way the next gathers.
+/// As home: hold() returns once the buddy has everything that the request has so far. The buddy is
+/// chosen by rendezvous hashing of the request id over the live members of the data centre. Output
+/// is sent to the caller only then, so that a caller that reconnects to the buddy never finds it
+/// behind what the caller has read. Copies for one buddy are sent in batches: while one batch is
+/// being sent the next is collected.
 ///
-/// As buddy: keeps the copies, and gives them to `onOrphan` when their home is silent for its term
-/// or hands them over.
+/// As buddy: keeps the copies and passes them to `onOrphan` when their home has not reported for
+/// its term or hands them over.
 class RecordKeeper
 {
 public:
-    /// `released`: its home gave it up by a hand-over, so nobody else runs it.
+    /// `released`: the home has handed the request over, so no other instance executes it.
     using OrphanHandler = std::function<void(const v1::RequestRecord &record, bool released)>;
 
     RecordKeeper(boost::asio::io_context &io, Membership &members, PeerNetwork &network,
                  std::uint64_t incarnation, OrphanHandler onOrphan);
     ~RecordKeeper();
 
-    /// False when no instance could be found to hold it: it is single-copy from then on.
+    /// False if no instance could be found for the copy. The request then has no replica.
     wire::Task<bool> hold(std::shared_ptr<RecordSource> source);
-    /// The caller has its whole answer, or the request ended: the copy may go after a while.
+    /// To be called when the caller has its whole answer or the request has ended. The buddy's copy
+    /// is removed later, in a batch.
     void forget(const std::string &requestId);
-    /// Gives every record to another instance; returns the ids that were taken.
+    /// Hands every record over to another instance and returns the ids of those that were accepted.
     wire::Task<std::vector<std::string>>
     handOver(std::vector<std::shared_ptr<RecordSource>> sources);
 
+    /// Stores the copies that another home sends to this buddy.
     v1::HoldReply onHold(const v1::HoldRequest &request);
+    /// Takes over the requests that a leaving instance hands over.
     v1::HandoverReply onHandover(const v1::HandoverRequest &request);
 
-    /// A copy held for another instance, or null.
+    /// The copy that is held for another instance, or null.
     [[nodiscard]] const v1::RequestRecord *copy(const std::string &requestId) const;
     [[nodiscard]] std::size_t copies() const;
 
--- a/include/snipestall/peer/record_source.hpp
+++ b/include/snipestall/peer/record_source.hpp
@@ -6,16 +6,18 @@
 
 namespace snipestall::peer {
 
-/// An accepted request as its home keeps it, seen by the keeper of copies.
+/// RecordKeeper's interface to an accepted request at its home.
 class RecordSource
 {
 public:
     virtual ~RecordSource() = default;
 
     [[nodiscard]] virtual const std::string &requestId() const = 0;
-    /// Pieces of output so far, plus one for a final answer: what a copy must reach.
+    /// Number of output pieces so far, plus one for a final answer. A copy is complete when it has
+    /// reached this number.
     [[nodiscard]] virtual std::uint64_t progress() const = 0;
-    /// The record with output from `from` on; with the body and all else when `whole`.
+    /// The record with the output from `from` on, and, if `whole` is set, with the body and all
+    /// other fields.
     [[nodiscard]] virtual v1::RequestRecord record(bool whole, std::uint64_t from) const = 0;
 };
 
--- a/include/snipestall/peer/settings_document.hpp
+++ b/include/snipestall/peer/settings_document.hpp
@@ -5,7 +5,7 @@
 
 namespace snipestall::peer {
 
-/// One version of the settings as it travels. `hash` is the tree's own.
+/// One version of the settings in its serialized form. `hash` is settings::Tree::hash().
 struct SettingsDocument
 {
     std::uint64_t version = 0;
--- a/include/snipestall/peer/settings_keeper.hpp
+++ b/include/snipestall/peer/settings_keeper.hpp
@@ -12,8 +12,8 @@
 
 namespace snipestall::peer {
 
-/// The settings in force on this instance: the greatest version ever offered to it, from the table
-/// or from a peer. An older or an equal one changes nothing, so settings never run backwards.
+/// The settings in force on this instance: the greatest valid version that was offered to it by the
+/// table or by a peer. An older or equal version is ignored, so settings never revert.
 class SettingsKeeper
 {
 public:
@@ -21,7 +21,8 @@
 
     explicit SettingsKeeper(std::string dataCentre);
 
-    /// True if it was newer and passed its hash and checks; listeners have run by then.
+    /// True if the document was newer and matched its hash and the checks. The listeners have been
+    /// called by then.
     bool offer(const SettingsDocument &document);
     void subscribe(Listener listener);
 
--- a/include/snipestall/peer/steward.hpp
+++ b/include/snipestall/peer/steward.hpp
@@ -19,22 +19,26 @@
 
 namespace snipestall::peer {
 
+/// Timing of the steward's lease.
 struct StewardOptions
 {
+    /// Duration of the lease, counted from each renewal.
     std::chrono::milliseconds term { 10000 };
-    /// Orders stop this long before the lease ends.
+    /// The holder stops sending orders this long before its lease ends.
     std::chrono::milliseconds safetyMargin { 3000 };
-    /// Longest time that one order can be on its way; a new holder waits it out.
+    /// Longest time that an order can take to arrive. A new holder waits this long before its first
+    /// order.
     std::chrono::milliseconds longestOrder { 2000 };
     std::chrono::milliseconds renewEvery { 3000 };
 };
 
-/// The lease on one data centre's orders, a row of the platform's table with a fencing number that
-/// only grows:
+/// The lease for one data centre's orders. It is a row of the platform's table with a fencing token
+/// that only increases:
 ///
 ///     stewards/<data centre>   {"holder":..,"incarnation":..,"fencing":N,"term_ms":..}
 ///
-/// The holder counts its lease from before it sent the renewal, on the monotonic clock.
+/// The holder counts its lease from the time just before it sent the renewal, by the monotonic
+/// clock.
 class Steward
 {
 public:
@@ -44,12 +48,13 @@
                                            std::uint64_t incarnation, StewardOptions options = {});
     ~Steward();
 
-    /// Takes and renews the lease until stop().
+    /// Acquires and renews the lease until stop().
     void start();
-    /// Gives the lease back if it is held.
+    /// Stops, and releases the lease if it is held.
     wire::Task<void> stop();
 
-    /// The fencing number, if an order may be sent at this very moment; asked right before each.
+    /// The fencing token if an order may be sent at this moment, otherwise no value. To be called
+    /// immediately before each order.
     [[nodiscard]] std::optional<std::uint64_t> mayOrder() const;
 
 private:
--- a/include/snipestall/peer/stored_outcome.hpp
+++ b/include/snipestall/peer/stored_outcome.hpp
@@ -4,15 +4,16 @@
 
 namespace snipestall::peer {
 
-/// The final answer to a claimed request, for its repeats.
+/// The final answer to a claimed request, stored to answer its repeats.
 struct StoredOutcome
 {
     int status = 0;
     std::string contentType;
     std::string body;
-    /// As in the Snipestall-Outcome header: "completed", "failed" or "unknown".
+    /// Value of the Snipestall-Outcome header: "completed", "failed" or "unknown".
     std::string outcome;
-    /// The body was longer than the table keeps: a repeat learns what came of it, not the body.
+    /// The body was longer than the limit for stored bodies, so a repeat receives the outcome
+    /// without the body.
     bool bodyDropped = false;
 };
 
--- a/include/snipestall/peer/table_maintenance.hpp
+++ b/include/snipestall/peer/table_maintenance.hpp
@@ -12,17 +12,19 @@
 class ClaimKeeper;
 class SettingsStore;
 
+/// Rate and retention of TableMaintenance.
 struct TableMaintenanceOptions
 {
-    /// One removal of claims and one of settings versions in each round. With ten data centres and
-    /// rounds of 10 s that is two transactions a second in all.
-    std::chrono::milliseconds every { 10000 };
-    /// About a day of changes at 15,000 a day: enough to roll back to and to rebase on.
+    /// Time between rounds. Each round removes one batch of claims and one of settings versions.
+    /// With ten data centres and rounds of 10 s that is two transactions a second in total.
+    std::chrono::milliseconds interval { 10000 };
+    /// Number of settings versions to keep, for rollback and rebase: about one day at 15,000
+    /// changes a day.
     std::uint64_t keepVersions = 15000;
 };
 
-/// Removes what has expired from the platform's table, a batch at a time, while `mayRun` says so:
-/// the steward's instance does it, and no other.
+/// Removes expired rows from the platform's table, a batch at a time, while `mayRun` returns true.
+/// Only the steward's instance should do this.
 ///
 ///     auto maintenance = TableMaintenance::create(
 ///         io, claims, settings, [&] { return steward.mayOrder().has_value(); });
@@ -34,7 +36,7 @@
                                                     ClaimKeeper &claims, SettingsStore &settings,
                                                     std::function<bool()> mayRun,
                                                     TableMaintenanceOptions options = {});
-    /// Ends it; it must go before what it was made with.
+    /// Stops the maintenance. It must be destroyed before the objects passed to create().
     ~TableMaintenance();
 
     void start();
--- a/src/snipestall/peer/audit_json.cpp
+++ b/src/snipestall/peer/audit_json.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-json::value orNull(const std::optional<std::string> &text)
+json::value nullableString(const std::optional<std::string> &text)
 {
     return text ? json::value(*text) : json::value(nullptr);
 }
 
-std::optional<std::string> textOrNothing(const json::value &value)
+std::optional<std::string> optionalString(const json::value &value)
 {
     if (!value.is_string())
         return std::nullopt;
@@ -25,17 +25,17 @@
 json::object toJson(const settings::Difference &difference)
 {
     return { { "path", difference.path },
-             { "before", orNull(difference.before) },
-             { "after", orNull(difference.after) } };
+             { "before", nullableString(difference.before) },
+             { "after", nullableString(difference.after) } };
 }
 
-settings::Difference differenceOf(const json::object &object)
+settings::Difference decodeDifference(const json::object &object)
 {
-    return { std::string(object.at("path").as_string()), textOrNothing(object.at("before")),
-             textOrNothing(object.at("after")) };
+    return { std::string(object.at("path").as_string()), optionalString(object.at("before")),
+             optionalString(object.at("after")) };
 }
 
-AuditRecord recordOf(const json::object &object)
+AuditRecord decodeRecord(const json::object &object)
 {
     AuditRecord record;
     record.changeId = std::string(object.at("change").as_string());
@@ -46,7 +46,7 @@
     record.fromVersion = object.at("from").to_number<std::uint64_t>();
     record.toVersion = object.at("to").to_number<std::uint64_t>();
     for (const json::value &item : object.at("differences").as_array())
-        record.differences.push_back(differenceOf(item.as_object()));
+        record.differences.push_back(decodeDifference(item.as_object()));
     return record;
 }
 
@@ -73,11 +73,11 @@
 Result<AuditRecord> decodeAudit(const std::string &text)
 {
     try {
-        return recordOf(json::parse(text).as_object());
+        return decodeRecord(json::parse(text).as_object());
     } catch (const std::exception &damaged) {
         return fail(ErrorKind::Internal,
-                    std::string("an audit row can't be read: ") + damaged.what()
-                        + "; look at the row in the platform's table");
+                    std::string("can't decode an audit row: ") + damaged.what()
+                        + "; inspect the row in the platform's table");
     }
 }
 
--- a/src/snipestall/peer/audit_json.hpp
+++ b/src/snipestall/peer/audit_json.hpp
@@ -7,9 +7,9 @@
 
 namespace snipestall::peer {
 
-/// The audit row's value.
+/// Encodes the value of an audit row.
 std::string encodeAudit(const AuditRecord &record);
-/// Internal if the row is damaged.
+/// Decodes the value of an audit row. Internal if it is damaged.
 Result<AuditRecord> decodeAudit(const std::string &text);
 
 } // namespace snipestall::peer
--- a/src/snipestall/peer/claim_batch.cpp
+++ b/src/snipestall/peer/claim_batch.cpp
@@ -31,19 +31,19 @@
 } // namespace
 
 ClaimBatch::ClaimBatch(std::shared_ptr<ClaimContext> context, std::vector<PendingClaimPtr> claims,
-                       Dropped dropped)
+                       DropHandler onDropped)
     : m_context(std::move(context))
     , m_claims(std::move(claims))
-    , m_dropped(std::move(dropped))
+    , m_onDropped(std::move(onDropped))
     , m_mustRead(std::ranges::any_of(m_claims, &PendingClaim::readFirst))
 { }
 
 wire::Task<void> ClaimBatch::run()
 {
     while (true) {
-        // Between this and the write of the same round nothing suspends, so no claim is written
-        // after its caller was told that it is not.
-        dropWorthless();
+        // The coroutine does not suspend between this and the write of the same round, so no claim
+        // is written after its caller was answered that it is not.
+        dropExpired();
         if (m_claims.empty() || m_context->stopped)
             co_return;
         const int failuresBefore = m_failures;
@@ -53,23 +53,23 @@
             co_await write();
         removeSettled();
         if (m_failures > failuresBefore && !m_claims.empty())
-            co_await m_context->pause(m_failures - 1);
+            co_await m_context->backOff(m_failures - 1);
     }
 }
 
-void ClaimBatch::dropWorthless()
+void ClaimBatch::dropExpired()
 {
     const SteadyTime now = m_context->clock.steadyNow();
-    const auto worthless = [now](const PendingClaimPtr &claim) {
+    const auto isExpired = [now](const PendingClaimPtr &claim) {
         return claim->givenUp || now >= claim->request.deadline;
     };
-    const auto keep = std::stable_partition(m_claims.begin(), m_claims.end(),
-                                            [&](const auto &claim) { return !worthless(claim); });
-    const std::vector<PendingClaimPtr> gone(keep, m_claims.end());
-    m_claims.erase(keep, m_claims.end());
-    for (const PendingClaimPtr &claim : gone) {
+    const auto firstExpired = std::stable_partition(
+        m_claims.begin(), m_claims.end(), [&](const auto &claim) { return !isExpired(claim); });
+    const std::vector<PendingClaimPtr> expired(firstExpired, m_claims.end());
+    m_claims.erase(firstExpired, m_claims.end());
+    for (const PendingClaimPtr &claim : expired) {
         claim->finished = true;
-        m_dropped(claim, claim->mayBeWritten);
+        m_onDropped(claim, claim->mayBeWritten);
     }
 }
 
@@ -117,7 +117,8 @@
 
 void ClaimBatch::settleConflicts(const std::vector<Row> &conflicts)
 {
-    // Without a conflict that names one of the claims the next round could only repeat itself.
+    // If no conflict names one of the claims, another write would fail in the same way, so the next
+    // round reads the rows.
     m_mustRead = true;
     for (const PendingClaimPtr &claim : m_claims) {
         const Row *row = findRow(conflicts, claim->rowKey);
@@ -133,30 +134,31 @@
     claim->expectedVersion = 0;
     if (row == nullptr || row->version == 0)
         return;
-    auto held = decodeClaim(*row);
-    // A row that can't be read still says that somebody may have sent.
-    if (!held) {
+    auto holder = decodeClaim(*row);
+    // A row that can't be decoded still shows that another attempt may have been sent.
+    if (!holder) {
         settle(claim, heldBy({}));
         return;
     }
-    if (held->token == claim->row.token && held->state != ClaimState::Abandoned) {
+    if (holder->token == claim->row.token && holder->state != ClaimState::Abandoned) {
         settle(claim, granted());
         return;
     }
-    if (held->state == ClaimState::Abandoned) {
+    if (holder->state == ClaimState::Abandoned) {
         claim->expectedVersion = row->version;
         return;
     }
-    settle(claim, heldBy(std::move(*held)));
+    settle(claim, heldBy(std::move(*holder)));
 }
 
 void ClaimBatch::settle(const PendingClaimPtr &claim, ClaimOutcome outcome)
 {
     const bool isGranted = outcome.verdict == ClaimVerdict::Granted;
     claim->finished = true;
-    // Its caller has gone: a grant must be taken back, anything else is of no interest.
+    // The caller was already answered as Unsettled, so a grant must be released. Any other outcome
+    // is not needed any more.
     if (claim->givenUp) {
-        m_dropped(claim, isGranted);
+        m_onDropped(claim, isGranted);
         return;
     }
     claim->outcome = std::move(outcome);
--- a/src/snipestall/peer/claim_context.cpp
+++ b/src/snipestall/peer/claim_context.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-/// Writes that may come at once after a quiet time: a batch of claims, its retry after a conflict,
-/// and their outcomes, without waiting.
+/// Writes that may follow each other without delay after an idle period: a batch of claims, its
+/// retry after a conflict, and their outcomes.
 constexpr int WriteBurst = 5;
 
-std::chrono::nanoseconds paceOf(double writesPerSecond)
+std::chrono::nanoseconds writeInterval(double writesPerSecond)
 {
     constexpr double NanosecondsInASecond = 1e9;
     return std::chrono::nanoseconds(
@@ -38,7 +38,8 @@
                     + std::to_string(source.wallNow().time_since_epoch().count()))
     , m_random(stableHash(m_tokenPrefix))
 {
-    // Two starts of one instance name within one tick of the wall clock still differ.
+    // The monotonic time distinguishes two starts of one instance name within one tick of the wall
+    // clock.
     m_tokenPrefix += "." + std::to_string(source.steadyNow().time_since_epoch().count());
 }
 
@@ -47,14 +48,14 @@
     return m_tokenPrefix + "." + std::to_string(++m_tokens);
 }
 
-wire::Task<void> ClaimContext::pause(int tries)
+wire::Task<void> ClaimContext::backOff(int retries)
 {
-    constexpr int MostDoublings = 16;
-    const milliseconds doubled = options.firstPause * (1 << std::min(tries, MostDoublings));
-    const milliseconds whole = std::min(doubled, options.longestPause);
-    const auto half = static_cast<std::uint64_t>(whole.count()) / 2;
+    constexpr int MaxDoublings = 16;
+    const milliseconds doubled = options.initialBackoff * (1 << std::min(retries, MaxDoublings));
+    const milliseconds longest = std::min(doubled, options.maxBackoff);
+    const auto half = static_cast<std::uint64_t>(longest.count()) / 2;
     const milliseconds jitter(static_cast<std::int64_t>(m_random.below(half + 1)));
-    co_await pauseFor(whole / 2 + jitter);
+    co_await pauseFor(longest / 2 + jitter);
 }
 
 wire::Task<void> ClaimContext::pauseFor(milliseconds time)
@@ -67,22 +68,23 @@
 {
     if (options.writesPerSecond <= 0)
         return milliseconds(0);
-    const auto ahead = m_evenPace - clock.steadyNow();
-    const auto mayBeAhead = WriteBurst * paceOf(options.writesPerSecond);
-    return std::max(milliseconds(0), std::chrono::ceil<milliseconds>(ahead - mayBeAhead));
+    const auto ahead = m_theoreticalArrival - clock.steadyNow();
+    const auto allowedAhead = WriteBurst * writeInterval(options.writesPerSecond);
+    return std::max(milliseconds(0), std::chrono::ceil<milliseconds>(ahead - allowedAhead));
 }
 
 void ClaimContext::countWrite()
 {
     ++counters.transactions;
     if (options.writesPerSecond > 0)
-        m_evenPace = std::max(m_evenPace, clock.steadyNow()) + paceOf(options.writesPerSecond);
+        m_theoreticalArrival = std::max(m_theoreticalArrival, clock.steadyNow())
+            + writeInterval(options.writesPerSecond);
 }
 
-void ClaimContext::returnWrite()
+void ClaimContext::refundWrite()
 {
     if (options.writesPerSecond > 0)
-        m_evenPace -= paceOf(options.writesPerSecond);
+        m_theoreticalArrival -= writeInterval(options.writesPerSecond);
 }
 
 wire::Task<Result<platform::TransactionOutcome>>
@@ -91,10 +93,10 @@
     countWrite();
     counters.rowWrites += transaction.writes.size();
     auto outcome = co_await table.transact(std::move(transaction));
-    // Tries that never reached the table in a long outage must not be paid for after it: with a
-    // share of a write a second, a minute of tries would hold up claims for minutes.
+    // Attempts that did not reach the table in a long outage must not count against the share after
+    // it: with a share of one write a second, a minute of attempts would delay claims for minutes.
     if (!outcome && outcome.error().kind == ErrorKind::Unavailable)
-        returnWrite();
+        refundWrite();
     co_return outcome;
 }
 
--- a/src/snipestall/peer/claim_expiry.cpp
+++ b/src/snipestall/peer/claim_expiry.cpp
@@ -17,16 +17,17 @@
 
 namespace {
 
-/// Batch rows looked at in one call: at low rates a batch names one claim or two, and a call for
-/// each would double the writes.
-constexpr std::size_t BatchesTogether = 64;
-/// Claims removed in one call, so that the transaction stays of a size that a table takes.
-constexpr std::size_t ClaimsTogether = 512;
+/// Batch rows processed in one call. At low rates a batch contains one or two claims, and a call
+/// for each batch would double the writes.
+constexpr std::size_t MaxBatchesPerCall = 64;
+/// Claims removed in one call. The limit keeps the transaction within the size that a table
+/// accepts.
+constexpr std::size_t MaxClaimsPerCall = 512;
 
-/// Whole batches whose hour is past the lifetime, oldest first.
+/// Complete batches whose hour is older than the lifetime, oldest first.
 struct ExpiredBatches
 {
-    /// Hours before this one are past the lifetime.
+    /// Hours before this one are older than the lifetime.
     std::string firstKeptHour;
     std::vector<Row> batches;
     std::vector<RowKey> claims;
@@ -35,16 +36,18 @@
 wire::Task<ExpiredBatches> findExpired(std::shared_ptr<ClaimContext> context)
 {
     const std::string table(ClaimBatchTable);
-    const std::string all;
+    const std::string unrestricted;
     ExpiredBatches expired;
     expired.firstKeptHour = claimHour(context->clock.wallNow() - context->options.lifetime);
-    const auto rows = co_await context->table.scan(table, all, all, BatchesTogether);
+    const auto rows =
+        co_await context->table.scan(table, unrestricted, unrestricted, MaxBatchesPerCall);
     if (!rows)
         co_return expired;
     for (const Row &batch : *rows) {
-        // A damaged batch row goes alone: its claims stay, which only refuses repeats for longer.
+        // A damaged batch row is removed without its claims. They remain, with the only effect that
+        // repeats are refused for longer.
         const auto names = decodeBatch(batch).value_or(std::vector<RowKey>());
-        const bool full = expired.claims.size() + names.size() > ClaimsTogether;
+        const bool full = expired.claims.size() + names.size() > MaxClaimsPerCall;
         const bool isKept = batch.key.key >= expired.firstKeptHour;
         if (isKept || (full && !expired.batches.empty()))
             break;
@@ -60,9 +63,10 @@
     transaction.writes.push_back({ row.key, std::nullopt });
 }
 
-/// Deletes the batch rows and those claims that are as old. An abandoned row that was taken over
-/// later carries the later hour: deleting it would let its key run a second time.
-Transaction removalOf(const ExpiredBatches &expired, const std::vector<Row> &claims)
+/// Deletes the batch rows and those of their claims that have expired too. An abandoned row that
+/// was taken over later has the later hour: deleting it would allow its key to be executed a second
+/// time.
+Transaction removalTransaction(const ExpiredBatches &expired, const std::vector<Row> &claims)
 {
     Transaction transaction;
     for (const Row &batch : expired.batches)
@@ -75,8 +79,9 @@
     return transaction;
 }
 
-/// Two batches name the same row if the later one took it over; it must be read and removed once.
-void removeRepeats(std::vector<RowKey> &keys)
+/// Two batches contain the same row if the later one took it over. The row must be read and removed
+/// only once.
+void removeDuplicates(std::vector<RowKey> &keys)
 {
     std::ranges::sort(keys);
     keys.erase(std::unique(keys.begin(), keys.end()), keys.end());
@@ -89,11 +94,11 @@
     ExpiredBatches expired = co_await findExpired(context);
     if (expired.batches.empty())
         co_return;
-    removeRepeats(expired.claims);
+    removeDuplicates(expired.claims);
     const auto claims = co_await context->read(expired.claims);
     if (!claims)
         co_return;
-    Transaction transaction = removalOf(expired, *claims);
+    Transaction transaction = removalTransaction(expired, *claims);
     const std::size_t removed = transaction.writes.size() - expired.batches.size();
     const auto outcome = co_await context->transact(std::move(transaction));
     // Anything but a commit is left to the next call, which begins from the rows as they are.
--- a/src/snipestall/peer/claim_expiry.hpp
+++ b/src/snipestall/peer/claim_expiry.hpp
@@ -8,8 +8,9 @@
 
 class ClaimContext;
 
-/// Removes claims of batch rows that are older than the lifetime: one scan, one read and one
-/// transaction a call, so that expiry stays inside the table's write budget however much is due.
+/// Removes the claims of batch rows that are older than the lifetime. Each call makes one scan, one
+/// read and one transaction, so that expiry stays within the table's write budget however many rows
+/// have expired.
 wire::Task<void> removeExpiredClaims(std::shared_ptr<ClaimContext> context);
 
 } // namespace snipestall::peer
--- a/src/snipestall/peer/claim_faults_test.cpp
+++ b/src/snipestall/peer/claim_faults_test.cpp
@@ -17,26 +17,26 @@
 using namespace snipestall::platform;
 using wire::Task;
 
-/// A key is claimed about this often before new ones take its place, so that there are always keys
-/// that nobody holds yet for a fault to meet.
+/// Average number of claims of a key before new keys replace it, so that faults always meet some
+/// keys without a holder.
 constexpr std::uint64_t ClaimsPerKey = 4;
 constexpr std::uint64_t KeysAtOnce = 3;
 
-/// Three instances claim a few keys at a time, over and over, while the table fails in every way
-/// that the fake knows. Deadlines are minutes of the manual clock, so no real timer decides
-/// anything.
-class FaultyWorld
+/// Three instances claim a few keys at a time, repeatedly, while the table fails in every way that
+/// FakeTableService supports. Deadlines are minutes of the manual clock, so no outcome depends on a
+/// real timer.
+class FaultInjectionRun
 {
 public:
-    explicit FaultyWorld(std::uint64_t seed)
+    explicit FaultInjectionRun(std::uint64_t seed)
         : m_random(seed)
     {
         ClaimOptions options;
         options.batchWindow = 0ms;
         options.updateWindow = 0ms;
         options.writesPerSecond = 0;
-        options.firstPause = 0ms;
-        options.longestPause = 0ms;
+        options.initialBackoff = 0ms;
+        options.maxBackoff = 0ms;
         options.maxBatch = 3;
         for (const std::string name : { "samsun-1", "sinop-1", "ordu-1" })
             m_keepers.push_back(ClaimKeeper::create(m_io, m_table, m_clock, name, options));
@@ -44,12 +44,13 @@
 
     void step()
     {
-        using Action = void (FaultyWorld::*)();
+        using Action = void (FaultInjectionRun::*)();
         constexpr std::array<Action, 10> Actions {
-            &FaultyWorld::claim,       &FaultyWorld::claim,    &FaultyWorld::claim,
-            &FaultyWorld::loseAnswer,  &FaultyWorld::lose,     &FaultyWorld::hold,
-            &FaultyWorld::deliverLate, &FaultyWorld::goUpDown, &FaultyWorld::freezeOrThaw,
-            &FaultyWorld::letTimePass
+            &FaultInjectionRun::claim,        &FaultInjectionRun::claim,
+            &FaultInjectionRun::claim,        &FaultInjectionRun::loseAnswer,
+            &FaultInjectionRun::loseRequest,  &FaultInjectionRun::delayRequest,
+            &FaultInjectionRun::deliverLate,  &FaultInjectionRun::toggleOutage,
+            &FaultInjectionRun::toggleFreeze, &FaultInjectionRun::advanceClock
         };
         (this->*Actions.at(m_random.below(Actions.size())))();
         const std::uint64_t handlers = m_random.below(30);
@@ -57,7 +58,7 @@
             m_io.poll_one();
     }
 
-    /// Everything comes back and every claim and mark is settled.
+    /// Ends all faults and runs until every claim and every abandon mark is settled.
     void recover()
     {
         m_table.down = false;
@@ -72,13 +73,13 @@
     void check()
     {
         std::map<std::uint64_t, int> granted;
-        for (const Asked &asked : m_asked) {
-            ASSERT_TRUE(asked.outcome->has_value());
-            granted.try_emplace(asked.key, 0);
-            if ((*asked.outcome)->verdict == ClaimVerdict::Granted) {
-                ++granted[asked.key];
-                EXPECT_EQ(rowOf(asked.key).attempt, asked.attempt);
-                EXPECT_EQ(rowOf(asked.key).state, ClaimState::Claimed);
+        for (const IssuedClaim &issued : m_issuedClaims) {
+            ASSERT_TRUE(issued.outcome->has_value());
+            granted.try_emplace(issued.key, 0);
+            if ((*issued.outcome)->verdict == ClaimVerdict::Granted) {
+                ++granted[issued.key];
+                EXPECT_EQ(rowOf(issued.key).attempt, issued.attempt);
+                EXPECT_EQ(rowOf(issued.key).state, ClaimState::Claimed);
             }
         }
         for (const auto &[key, times] : granted) {
@@ -94,7 +95,7 @@
     [[nodiscard]] int grantedKeys() const { return m_granted; }
 
 private:
-    struct Asked
+    struct IssuedClaim
     {
         std::uint64_t key = 0;
         std::string attempt;
@@ -110,12 +111,12 @@
 
     void claim()
     {
-        const std::uint64_t key = m_asked.size() / ClaimsPerKey + m_random.below(KeysAtOnce);
-        const std::string attempt = "a" + std::to_string(m_asked.size());
+        const std::uint64_t key = m_issuedClaims.size() / ClaimsPerKey + m_random.below(KeysAtOnce);
+        const std::string attempt = "a" + std::to_string(m_issuedClaims.size());
         const auto left = std::chrono::minutes(1 + m_random.below(30));
         const ClaimRequest request { keyOf(key), "r", attempt, "b", m_clock.steadyNow() + left };
         auto &keeper = *m_keepers[m_random.below(m_keepers.size())];
-        m_asked.push_back({ key, attempt, startTask(m_io, claimInTime(keeper, request)) });
+        m_issuedClaims.push_back({ key, attempt, startTask(m_io, claimInTime(keeper, request)) });
     }
     Task<ClaimOutcome> claimInTime(ClaimKeeper &keeper, ClaimRequest request)
     {
@@ -126,11 +127,11 @@
         co_return outcome;
     }
     void loseAnswer() { ++m_table.loseAnswers; }
-    void lose() { ++m_table.loseRequests; }
-    void hold() { ++m_table.holdRequests; }
+    void loseRequest() { ++m_table.loseRequests; }
+    void delayRequest() { ++m_table.holdRequests; }
     void deliverLate() { m_table.deliverLate(); }
-    void goUpDown() { m_table.down = !m_table.down; }
-    void freezeOrThaw()
+    void toggleOutage() { m_table.down = !m_table.down; }
+    void toggleFreeze()
     {
         m_frozen = !m_frozen;
         if (m_frozen)
@@ -138,37 +139,37 @@
         else
             m_table.thaw();
     }
-    void letTimePass() { m_clock.advance(std::chrono::minutes(m_random.below(10))); }
+    void advanceClock() { m_clock.advance(std::chrono::minutes(m_random.below(10))); }
 
     Random m_random;
     boost::asio::io_context m_io;
     ManualClock m_clock;
     FakeTableService m_table { m_io };
     std::vector<std::unique_ptr<ClaimKeeper>> m_keepers;
-    std::vector<Asked> m_asked;
+    std::vector<IssuedClaim> m_issuedClaims;
     bool m_frozen = false;
     int m_granted = 0;
 };
 
-// Any of the faults may come at any moment, together or twice: answers lost, requests lost or
-// delivered late, outages, a frozen table, clocks that jump past deadlines. Whatever comes, no key
-// is granted twice, a granted key's row stays its holder's, and a key that nobody may send for does
-// not stay claimed.
-TEST(ClaimFaultsTest, NoKeyIsGrantedTwiceWhateverTheTableDoes)
+// Guards against double grants under any sequence of faults: lost answers, requests that are lost
+// or delivered late, outages, a frozen table and clocks that jump past deadlines. No key may be
+// granted twice, the row of a granted key must stay with its holder, and a key without a holder
+// must not stay claimed.
+TEST(ClaimFaultsTest, NoKeyIsGrantedTwiceUnderAnyTableFault)
 {
     constexpr std::uint64_t Seeds = 300;
     constexpr int Steps = 150;
     int granted = 0;
     for (std::uint64_t seed = 1; seed <= Seeds && !testing::Test::HasFailure(); ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
-        FaultyWorld world(seed);
+        FaultInjectionRun run(seed);
         for (int i = 0; i < Steps; ++i)
-            world.step();
-        world.recover();
-        world.check();
-        granted += world.grantedKeys();
+            run.step();
+        run.recover();
+        run.check();
+        granted += run.grantedKeys();
     }
-    // The faults must not be such that nothing is ever granted.
+    // The test proves nothing if the faults prevent all grants.
     EXPECT_GT(granted, static_cast<int>(Seeds));
 }
 
--- a/src/snipestall/peer/claim_keeper.cpp
+++ b/src/snipestall/peer/claim_keeper.cpp
@@ -39,15 +39,16 @@
     void startBatches();
     Task<void> runBatch(std::vector<PendingClaimPtr> claims);
 
-    void dropped(const PendingClaimPtr &claim, bool mayBeWritten);
+    void onDropped(const PendingClaimPtr &claim, bool mayBeWritten);
     void abandon(const PendingClaim &claim);
     void release(const RowKey &key);
 
     std::shared_ptr<ClaimContext> context;
     std::shared_ptr<ClaimUpdates> updates;
     std::deque<PendingClaimPtr> queue;
-    /// Keys with a claim under way here, and those that wait for it to be settled.
-    std::map<RowKey, std::deque<PendingClaimPtr>> underWay;
+    /// Keys with a pending claim of this instance, each with the claims that wait until that one is
+    /// settled.
+    std::map<RowKey, std::deque<PendingClaimPtr>> pendingKeys;
     std::size_t batches = 0;
     bool windowOpen = false;
 };
@@ -61,9 +62,9 @@
     claim->row.bodyHash = claim->request.bodyHash;
     claim->row.token = context->nextToken();
     claim->settled.expires_after(claim->request.deadline - context->clock.steadyNow());
-    // Two claims of one key in one transaction would both see their conditions hold. The second
-    // waits until the first is settled and then finds its row.
-    const auto [waiters, first] = underWay.try_emplace(claim->rowKey);
+    // In one transaction, the conditions of two claims of one key would both be met. The second
+    // claim therefore waits until the first is settled and then finds its row.
+    const auto [waiters, first] = pendingKeys.try_emplace(claim->rowKey);
     if (first) {
         enqueue(claim);
     } else {
@@ -99,8 +100,8 @@
     startBatches();
 }
 
-/// Starts what may be written now; what may not stays queued for the next window, or, with too many
-/// batches under way, for the end of one.
+/// Starts batches for the claims that may be written now. The others stay queued until the next
+/// window or, if too many batches are running, until one of them ends.
 void ClaimKeeper::State::startBatches()
 {
     while (!queue.empty() && batches < context->options.maxInFlight && !context->stopped) {
@@ -125,16 +126,17 @@
 Task<void> ClaimKeeper::State::runBatch(std::vector<PendingClaimPtr> claims)
 {
     const auto self = shared_from_this();
-    ClaimBatch batch(
-        context, std::move(claims),
-        [this](const PendingClaimPtr &claim, bool mayBeWritten) { dropped(claim, mayBeWritten); });
+    ClaimBatch batch(context, std::move(claims),
+                     [this](const PendingClaimPtr &claim, bool mayBeWritten) {
+                         onDropped(claim, mayBeWritten);
+                     });
     co_await batch.run();
     --batches;
     if (!windowOpen)
         startBatches();
 }
 
-void ClaimKeeper::State::dropped(const PendingClaimPtr &claim, bool mayBeWritten)
+void ClaimKeeper::State::onDropped(const PendingClaimPtr &claim, bool mayBeWritten)
 {
     if (mayBeWritten)
         abandon(*claim);
@@ -142,13 +144,14 @@
         release(claim->rowKey);
         return;
     }
-    // Its caller has not noticed yet that the deadline has passed.
+    // The caller's coroutine has not yet resumed after the deadline.
     claim->outcome = ClaimOutcome {};
     claim->settled.cancel();
 }
 
-// A frozen process wakes with the answer to its write in hand, long after its caller was told that
-// the request did not run. A grant counts only before the deadline; a later one is taken back.
+// A process that was suspended may receive the answer to its write long after its caller was told
+// that the request was not executed. A grant is therefore valid only before the deadline, and a
+// later one is abandoned.
 ClaimOutcome ClaimKeeper::State::conclude(const PendingClaimPtr &claim)
 {
     if (!claim->outcome) {
@@ -192,12 +195,12 @@
 
 void ClaimKeeper::State::release(const RowKey &key)
 {
-    const auto found = underWay.find(key);
+    const auto found = pendingKeys.find(key);
     auto &waiters = found->second;
     while (!waiters.empty() && waiters.front()->givenUp)
         waiters.pop_front();
     if (waiters.empty()) {
-        underWay.erase(found);
+        pendingKeys.erase(found);
         return;
     }
     PendingClaimPtr next = std::move(waiters.front());
@@ -244,7 +247,7 @@
 void ClaimKeeper::giveBack(const ClaimKey &key, std::string attempt)
 {
     ClaimUpdate update;
-    update.kind = ClaimUpdate::Kind::GiveBack;
+    update.kind = ClaimUpdate::Kind::ReleaseUnused;
     update.rowKey = claimRowKey(key);
     update.row.attempt = std::move(attempt);
     m_state->updates->add(std::move(update));
@@ -262,7 +265,7 @@
     auto row = decodeClaim(rows->front());
     if (!row)
         co_return tl::unexpected<Error>(row.error());
-    // Given up before it was sent: nobody holds the key.
+    // The claim was abandoned before the request was sent, so no attempt holds the key.
     if (row->state == ClaimState::Abandoned)
         co_return std::optional<ClaimOutcome>();
     co_return std::optional<ClaimOutcome>(heldBy(std::move(*row)));
--- a/src/snipestall/peer/claim_keeper_test.cpp
+++ b/src/snipestall/peer/claim_keeper_test.cpp
@@ -24,8 +24,8 @@
         chosen.batchWindow = 0ms;
         chosen.updateWindow = 0ms;
         chosen.writesPerSecond = 0;
-        chosen.firstPause = 1ms;
-        chosen.longestPause = 1ms;
+        chosen.initialBackoff = 1ms;
+        chosen.maxBackoff = 1ms;
         return ClaimKeeper::create(m_io, m_table, m_clock, instance, chosen);
     }
 
@@ -89,10 +89,10 @@
     EXPECT_FALSE(lookup(*second, "another").has_value());
 }
 
-// A master's top-up is claimed; the write takes effect and the table's answer is lost on the way.
-// Taking that for a failure would refuse a request whose key is now taken; taking it for a success
-// without looking could run it twice. The row read back names its claimer.
-TEST_F(ClaimKeeperTest, AnAnswerLostAfterTheWriteIsSettledByReadingBack)
+// The claim's write takes effect, but the table's answer is lost. Treating that as a failure would
+// refuse a request whose key is now taken. Treating it as a success without a read could execute
+// the request twice. The row that is read back identifies the claimer.
+TEST_F(ClaimKeeperTest, ALostAnswerIsSettledByReadingTheRow)
 {
     const auto first = keeper("samsun-1");
     m_table.loseAnswers = 1;
@@ -102,7 +102,8 @@
     EXPECT_EQ(claim(*keeper("ordu-1"), request("k", "a2")).verdict, ClaimVerdict::Held);
 }
 
-// The same, but the claim itself was lost on the way: nothing is in, and the write is made again.
+// The claim's write itself is lost before it takes effect. The row is absent, so the write must be
+// made again.
 TEST_F(ClaimKeeperTest, AClaimLostBeforeTheWriteIsWrittenAgain)
 {
     const auto first = keeper("samsun-1");
@@ -111,9 +112,9 @@
     EXPECT_EQ(first->counters().transactions, 2U);
 }
 
-// A caller without an answer sends its top-up to two data centres at the same moment. Both would
-// run it; the table lets one insert in, and the other learns who holds the key.
-TEST_F(ClaimKeeperTest, OfTwoClaimersInARaceOneIsGranted)
+// A caller sends the same request to two data centres at the same time, and both would execute it.
+// The table accepts one insert, and the other claim must return the holder of the key.
+TEST_F(ClaimKeeperTest, OnlyOneOfTwoConcurrentClaimsIsGranted)
 {
     const auto samsun = keeper("samsun-1");
     const auto sinop = keeper("sinop-1");
@@ -125,10 +126,10 @@
     EXPECT_EQ((*two)->holderAttempt, "a1");
 }
 
-// The same caller's repeat reaches the same instance before the first claim is written. In one
-// transaction both would see an absent row, the second write would replace the first, and both
-// would be told that they may send.
-TEST_F(ClaimKeeperTest, OfTwoClaimsOfOneKeyInOneBatchOneIsGranted)
+// A repeat reaches the same instance before the first claim is written. In one transaction both
+// claims would find the row absent, the second write would replace the first, and both would be
+// granted.
+TEST_F(ClaimKeeperTest, OnlyOneOfTwoClaimsOfAKeyInABatchIsGranted)
 {
     const auto samsun = keeper("samsun-1");
     const auto one = start(*samsun, request("k", "a1"));
@@ -139,10 +140,11 @@
     EXPECT_EQ(samsun->counters().transactions, 1U);
 }
 
-// An instance is paused just after its claim was written. Its caller was refused as not run when
-// the deadline passed and sent the key elsewhere. Woken, the instance finds the table's yes in its
-// hand; acting on it would run the key although its caller was told that it did not run.
-TEST_F(ClaimKeeperTest, AClaimerFrozenPastItsDeadlineIsNotGranted)
+// An instance is suspended just after its claim was written. Its caller is refused as not run when
+// the deadline passes and sends the key to another instance. When the suspended instance resumes,
+// it receives the grant. Acting on it would execute a request whose caller was told that it did not
+// run.
+TEST_F(ClaimKeeperTest, AClaimerSuspendedPastItsDeadlineIsNotGranted)
 {
     const auto frozen = keeper("samsun-1");
     m_table.freeze();
@@ -158,9 +160,9 @@
     EXPECT_EQ(claim(*keeper("sinop-1"), request("k", "a2")).verdict, ClaimVerdict::Granted);
 }
 
-// The table takes the claim but is slow to say so. The caller has been refused by the time that its
-// yes comes; nobody will send, so the row must not hold the key.
-TEST_F(ClaimKeeperTest, AGrantThatComesAfterItsCallerWasRefusedIsTakenBack)
+// The table accepts the claim but answers only after the caller has been refused. The request will
+// not be sent, so the row must not hold the key.
+TEST_F(ClaimKeeperTest, AGrantAfterTheCallerWasRefusedIsAbandoned)
 {
     const auto samsun = keeper("samsun-1");
     m_table.freeze();
@@ -172,10 +174,10 @@
     EXPECT_EQ(rowOf("k").state, ClaimState::Abandoned);
 }
 
-// A claim's write is stuck in a slow network. Its caller is refused, and only then the write lands.
-// A row that nobody will ever send for would block the key for a day; a row put there beforehand
-// makes the late write's condition fail.
-TEST_F(ClaimKeeperTest, AWriteThatLandsAfterItsClaimWasGivenUpChangesNothing)
+// A claim's write is delayed by the network and reaches the table only after the caller was
+// refused. Its row would block the key for a day without a holder. The abandoned row that was
+// inserted before makes the condition of the late write fail.
+TEST_F(ClaimKeeperTest, ALateWriteOfAnAbandonedClaimHasNoEffect)
 {
     const auto slow = keeper("samsun-1");
     m_table.holdRequests = 1;
@@ -192,10 +194,10 @@
     EXPECT_EQ(rowOf("k").attempt, "a2");
 }
 
-// An attempt is claimed twice: here after its first claim, and by a buddy that took its request
-// over under the same id. The row names the attempt; were that taken for the second claim's own
-// write, both would be told that they may send.
-TEST_F(ClaimKeeperTest, AnAttemptIsGrantedOnceHoweverOftenItIsClaimed)
+// An attempt is claimed again by the same instance, and by a buddy that took its request over under
+// the same id. The row contains the attempt. If that identified the claim's own write, each claim
+// would be granted.
+TEST_F(ClaimKeeperTest, AnAttemptIsGrantedOnlyOnce)
 {
     const auto samsun = keeper("samsun-1");
     EXPECT_EQ(claim(*samsun, request("k", "a1")).verdict, ClaimVerdict::Granted);
@@ -203,9 +205,9 @@
     EXPECT_EQ(claim(*keeper("samsun-2"), request("k", "a1")).verdict, ClaimVerdict::Held);
 }
 
-// The table goes down at the first, second, third call of a claim whose first answer was lost, and
-// stays down until the claim is worth nothing. Whatever the call, the claim must not be granted,
-// and when the table is back its row must be free for the caller's repeat.
+// The table goes down at the first, second or third call of a claim whose first answer was lost,
+// and stays down past the claim's deadline. In each case the claim must not be granted, and when
+// the table is available again the key must be free for the caller's repeat.
 TEST_F(ClaimKeeperTest, ATableDownAtAnyStepLeavesTheKeyFree)
 {
     for (int step = 1; step <= 3; ++step) {
@@ -231,7 +233,7 @@
     }
 }
 
-// The table is down and stays so. The caller must hear of it by its deadline, not wait for ever.
+// The table stays down. The caller must be refused by its deadline and not wait for ever.
 TEST_F(ClaimKeeperTest, AClaimIsUnsettledByItsDeadlineWhileTheTableIsDown)
 {
     const auto samsun = keeper("samsun-1");
@@ -241,9 +243,9 @@
     EXPECT_TRUE(m_table.rows.empty());
 }
 
-// In an outage a claim is tried over and over against a share of one write a second. Were these
-// tries counted, the claims that come after the outage would wait for as many seconds.
-TEST_F(ClaimKeeperTest, TriesOfAnOutageDoNotUseUpTheShareOfWrites)
+// In an outage a claim is retried many times with a share of one write a second. If these retries
+// counted, the claims after the outage would wait for as many seconds.
+TEST_F(ClaimKeeperTest, RetriesInAnOutageDoNotUseUpTheWriteShare)
 {
     const auto samsun = keeper("samsun-1");
     samsun->limitWrites(1);
@@ -256,9 +258,9 @@
     EXPECT_EQ(claim(*samsun, request("k2", "a1", 20s)).verdict, ClaimVerdict::Granted);
 }
 
-// One of three keys in a batch was claimed elsewhere. The transaction is all-or-nothing: without a
-// second try of the rest one repeat would refuse its neighbours.
-TEST_F(ClaimKeeperTest, AConflictSettlesItsOwnKeyAndTheRestOfTheBatchGoesOn)
+// One of three keys in a batch was claimed by another instance. The transaction is atomic, so
+// without a retry of the other claims one repeat would cause their refusal.
+TEST_F(ClaimKeeperTest, AConflictSettlesOnlyItsOwnKeyOfABatch)
 {
     claim(*keeper("sinop-1"), request("k2", "other"));
     const auto samsun = keeper("samsun-1");
@@ -287,9 +289,9 @@
     EXPECT_EQ(samsun->counters().rowWrites, 51U);
 }
 
-// A receipt is to be stored when the table has just gone down; later an answer is lost as well.
-// The caller's repeat must still get the receipt, and must get it once it is in.
-TEST_F(ClaimKeeperTest, AnOutcomeIsKeptUntilTheTableHasTakenIt)
+// An outcome is to be stored while the table is down, and later an answer is lost as well. The
+// outcome must not be lost, and a repeat must get it after it was stored.
+TEST_F(ClaimKeeperTest, AnOutcomeIsRetriedUntilItIsStored)
 {
     const auto samsun = keeper("samsun-1");
     claim(*samsun, request("k", "a1"));
@@ -304,9 +306,9 @@
     EXPECT_EQ(lookup(*samsun, "k")->outcome->body, "receipt");
 }
 
-// A claim was granted, then no backend server could be reached before the deadline: the caller is
-// told that nothing ran. Its repeat must not meet a key that is held for a day.
-TEST_F(ClaimKeeperTest, AGrantGivenBackUnusedFreesTheKey)
+// A claim was granted, but no backend server could be reached before the deadline, and the caller
+// was told that nothing ran. Its repeat must not find a key that is held for a day.
+TEST_F(ClaimKeeperTest, AnUnusedGrantThatIsReleasedFreesTheKey)
 {
     const auto samsun = keeper("samsun-1");
     claim(*samsun, request("k", "a1"));
@@ -327,7 +329,7 @@
     EXPECT_FALSE(lookup(*samsun, "k")->outcome.has_value());
 }
 
-TEST_F(ClaimKeeperTest, ABodyTooLongForTheTableIsDroppedAndSaysSo)
+TEST_F(ClaimKeeperTest, ABodyAboveTheLimitIsDroppedAndMarked)
 {
     const auto samsun = keeper("samsun-1");
     claim(*samsun, request("k", "a1"));
@@ -340,8 +342,8 @@
     EXPECT_TRUE(known->outcome->body.empty());
 }
 
-// Rows are removed by the hour. A caller that repeats in the next hour must still find its row, and
-// a day later the rows must be gone, or the table would grow for ever.
+// Rows expire by the hour. A repeat in the next hour must still find its row, and a day later the
+// rows must be removed, otherwise the table would grow without limit.
 TEST_F(ClaimKeeperTest, RowsAreFoundInLaterHoursAndRemovedAfterTheirLifetime)
 {
     const auto samsun = keeper("samsun-1");
@@ -370,8 +372,9 @@
     EXPECT_TRUE(m_table.rows.empty());
 }
 
-// A claim is given up in one hour and its key taken over in a later one. When the first hour's
-// batch expires, deleting the row by its name alone would free a key that has run within the day.
+// A claim is abandoned in one hour and its row taken over in a later one. When the first hour's
+// batch expires, deleting the row by its key alone would free a key that was executed within the
+// day.
 TEST_F(ClaimKeeperTest, ExpiryLeavesARowThatALaterHourTookOver)
 {
     const auto samsun = keeper("samsun-1");
--- a/src/snipestall/peer/claim_row.cpp
+++ b/src/snipestall/peer/claim_row.cpp
@@ -17,8 +17,9 @@
 constexpr std::string_view ClaimTable = "claims";
 constexpr std::array<std::string_view, 3> StateNames { "claimed", "done", "abandoned" };
 
-/// Length before each part: no two keys give the same bytes, whatever characters they hold.
-std::string joined(const ClaimKey &key)
+/// Joins the parts of a key, each preceded by its length, so that different keys never give the
+/// same bytes, whatever characters they contain.
+std::string lengthPrefixed(const ClaimKey &key)
 {
     std::string all;
     for (const std::string *part : { &key.customer, &key.service, &key.idempotencyKey })
@@ -41,7 +42,7 @@
     return hex;
 }
 
-/// Answers may hold any bytes, JSON strings may not.
+/// Response bodies may contain any bytes, JSON strings may not.
 std::string toBase64(const std::string &bytes)
 {
     std::string text((bytes.size() + 2) / 3 * 4 + 1, '\0');
@@ -59,7 +60,7 @@
                                         reinterpret_cast<const unsigned char *>(text.data()),
                                         static_cast<int>(text.size()));
     if (decoded < 0 || static_cast<std::size_t>(decoded) < size)
-        throw std::invalid_argument("the stored body is not base64");
+        throw std::invalid_argument("the stored body is not valid base64");
     bytes.resize(size);
     return bytes;
 }
@@ -77,7 +78,7 @@
     return object;
 }
 
-StoredOutcome outcomeOf(const json::object &object)
+StoredOutcome decodeOutcome(const json::object &object)
 {
     StoredOutcome outcome;
     outcome.status = object.at("status").to_number<int>();
@@ -89,16 +90,16 @@
     return outcome;
 }
 
-ClaimState stateOf(std::string_view name)
+ClaimState parseState(std::string_view name)
 {
     for (std::size_t i = 0; i < StateNames.size(); ++i) {
         if (StateNames.at(i) == name)
             return static_cast<ClaimState>(i);
     }
-    throw std::invalid_argument("unknown state");
+    throw std::invalid_argument("unknown claim state");
 }
 
-ClaimRow rowOf(const json::object &object)
+ClaimRow decodeRow(const json::object &object)
 {
     ClaimRow row;
     row.request = std::string(object.at("request").as_string());
@@ -106,25 +107,25 @@
     row.token = std::string(object.at("token").as_string());
     row.bodyHash = std::string(object.at("body").as_string());
     row.hour = std::string(object.at("hour").as_string());
-    row.state = stateOf(object.at("state").as_string());
+    row.state = parseState(object.at("state").as_string());
     const auto *outcome = object.if_contains("outcome");
     if (outcome != nullptr)
-        row.outcome = outcomeOf(outcome->as_object());
+        row.outcome = decodeOutcome(outcome->as_object());
     return row;
 }
 
-Error damaged(const platform::Row &row, const std::exception &cause)
+Error damagedRow(const platform::Row &row, const std::exception &cause)
 {
     return { ErrorKind::Internal,
-             "row " + row.key.table + "/" + row.key.key + " can't be read: " + cause.what()
-                 + "; look at it in the platform's table" };
+             "can't decode row " + row.key.table + "/" + row.key.key + ": " + cause.what()
+                 + "; inspect it in the platform's table" };
 }
 
 } // namespace
 
 platform::RowKey claimRowKey(const ClaimKey &key)
 {
-    return { std::string(ClaimTable), sha256Hex(joined(key)) };
+    return { std::string(ClaimTable), sha256Hex(lengthPrefixed(key)) };
 }
 
 std::string encodeClaim(const ClaimRow &row)
@@ -144,9 +145,9 @@
 Result<ClaimRow> decodeClaim(const platform::Row &row)
 {
     try {
-        return rowOf(json::parse(row.value).as_object());
+        return decodeRow(json::parse(row.value).as_object());
     } catch (const std::exception &cause) {
-        return tl::unexpected<Error>(damaged(row, cause));
+        return tl::unexpected<Error>(damagedRow(row, cause));
     }
 }
 
@@ -191,7 +192,7 @@
             claims.push_back({ std::string(ClaimTable), std::string(name.as_string()) });
         return claims;
     } catch (const std::exception &cause) {
-        return tl::unexpected<Error>(damaged(row, cause));
+        return tl::unexpected<Error>(damagedRow(row, cause));
     }
 }
 
--- a/src/snipestall/peer/claim_row.hpp
+++ b/src/snipestall/peer/claim_row.hpp
@@ -14,12 +14,14 @@
 
 namespace snipestall::peer {
 
+/// State of a stored claim.
 enum class ClaimState {
-    /// The holder may send, or has sent.
+    /// The holder may send the request or has sent it.
     Claimed,
     /// The outcome is stored.
     Done,
-    /// Its holder has given it up unsent; the next claimer may take the row over.
+    /// The holder has given the claim up without sending the request. The next claimer may take the
+    /// row over.
     Abandoned,
 };
 
@@ -28,18 +30,20 @@
 {
     std::string request;
     std::string attempt;
-    /// Unlike the attempt, chosen anew by each call of claim(): a row left behind by a claim that
-    /// was given up must not be taken for a later claim of the same attempt.
+    /// Unlike the attempt, it is different for each call of claim(), so that a row that was left
+    /// behind by an abandoned claim is not mistaken for a later claim of the same attempt.
     std::string token;
     std::string bodyHash;
-    /// Hour bucket of the batch that wrote it; expiry leaves a row that a later hour took over.
+    /// Hour of the batch that wrote the row. Expiry by an earlier hour's batch row leaves a row
+    /// that a later hour took over.
     std::string hour;
     ClaimState state = ClaimState::Claimed;
     std::optional<StoredOutcome> outcome;
 };
 
-/// Longest body kept for repeats. Answers to balance changes and correction notes are receipts of
-/// a few hundred bytes; 64 longer ones in one transaction would pass the size that a table takes.
+/// Longest body, in bytes, that is stored for repeats. Answers to balance changes and correction
+/// notes are receipts of a few hundred bytes. 64 bodies above this limit in one transaction would
+/// exceed the size that a table accepts.
 constexpr std::size_t MaxStoredBody = 64 * 1024;
 
 constexpr std::string_view ClaimBatchTable = "claim-batches";
@@ -48,11 +52,11 @@
 std::string encodeClaim(const ClaimRow &row);
 /// Internal if the row is damaged.
 Result<ClaimRow> decodeClaim(const platform::Row &row);
-/// What a row tells whoever does not hold it.
+/// The outcome of a claim that is refused because another attempt holds the row.
 ClaimOutcome heldBy(ClaimRow row);
 
-/// Hours since the epoch, as the first part of a batch row's key; fixed width, so that the table's
-/// order is the order of time.
+/// Hours since the epoch, as the first part of a batch row's key. The width is fixed, so that the
+/// table's order by key is the order of time.
 std::string claimHour(std::chrono::system_clock::time_point at);
 platform::RowKey claimBatchKey(std::chrono::system_clock::time_point at, const std::string &batch);
 std::string encodeBatch(const std::vector<platform::RowKey> &claims);
--- a/src/snipestall/peer/claim_updates.cpp
+++ b/src/snipestall/peer/claim_updates.cpp
@@ -18,8 +18,8 @@
 
 namespace {
 
-/// Bodies in one transaction: a table's limit for one call is commonly a few megabytes.
-constexpr std::size_t MaxBatchBytes = 1024 * 1024;
+/// Size of the bodies in one transaction. A table's limit for one call is commonly a few megabytes.
+constexpr std::size_t MaxBodyBytes = 1024 * 1024;
 
 /// A row's new value and the version it replaces.
 struct Change
@@ -29,7 +29,7 @@
     bool isNew = false;
 };
 
-/// The row, if it is still the attempt's and without an outcome.
+/// The row, if the attempt still holds it and no outcome is stored.
 std::optional<ClaimRow> claimedBy(const std::string &attempt, const Row *row)
 {
     if (row == nullptr)
@@ -50,7 +50,7 @@
     return Change { encodeClaim(*current), row->version, false };
 }
 
-std::optional<Change> giveBack(const ClaimUpdate &update, const Row *row)
+std::optional<Change> releaseUnused(const ClaimUpdate &update, const Row *row)
 {
     auto current = claimedBy(update.row.attempt, row);
     if (!current)
@@ -59,8 +59,9 @@
     return Change { encodeClaim(*current), row->version, false };
 }
 
-// A write whose answer was lost may still be on its way and land after this. An abandoned row put
-// in its place makes its condition fail, so the key is not left claimed by nobody.
+// A write whose answer was lost may still be in transit and reach the table later. An abandoned row
+// that is inserted now makes the condition of that write fail, so the key is not left claimed
+// without a holder.
 std::optional<Change> abandon(const ClaimUpdate &update, const Row *row)
 {
     if (row == nullptr) {
@@ -75,12 +76,14 @@
     return Change { encodeClaim(*current), row->version, false };
 }
 
-/// What each kind makes of its row; nothing if that is in already or no longer fits the row.
+/// The change of the row for an update, or no value if the update has already taken effect or no
+/// longer matches the row.
 std::optional<Change> changeFor(const ClaimUpdate &update, const Row *row)
 {
-    using Maker = std::optional<Change> (*)(const ClaimUpdate &, const Row *);
-    constexpr std::array<Maker, 3> Makers { storeOutcome, abandon, giveBack };
-    return Makers.at(static_cast<std::size_t>(update.kind))(update, row);
+    using ChangeFunction = std::optional<Change> (*)(const ClaimUpdate &, const Row *);
+    constexpr std::array<ChangeFunction, 3> ChangeFunctions { storeOutcome, abandon,
+                                                              releaseUnused };
+    return ChangeFunctions.at(static_cast<std::size_t>(update.kind))(update, row);
 }
 
 } // namespace
@@ -109,11 +112,11 @@
         if (failures == 0)
             co_await m_context->pauseFor(window);
         else
-            co_await m_context->pause(failures - 1);
+            co_await m_context->backOff(failures - 1);
         if (m_context->stopped)
             break;
-        const bool taken = co_await pass();
-        failures = taken ? 0 : failures + 1;
+        const bool answered = co_await runPass();
+        failures = answered ? 0 : failures + 1;
     }
     m_running = false;
 }
@@ -124,7 +127,7 @@
     std::size_t bytes = 0;
     for (const ClaimUpdate &update : m_updates) {
         bytes += update.row.outcome ? update.row.outcome->body.size() : 0;
-        const bool full = keys.size() == m_context->options.maxBatch || bytes > MaxBatchBytes;
+        const bool full = keys.size() == m_context->options.maxBatch || bytes > MaxBodyBytes;
         const bool repeated = std::ranges::find(keys, update.rowKey) != keys.end();
         if ((full || repeated) && !keys.empty())
             break;
@@ -133,7 +136,7 @@
     return keys;
 }
 
-wire::Task<bool> ClaimUpdates::pass()
+wire::Task<bool> ClaimUpdates::runPass()
 {
     std::vector<RowKey> keys = nextKeys();
     const std::size_t count = keys.size();
@@ -145,13 +148,15 @@
     if (written == 0)
         co_return true;
     const auto outcome = co_await m_context->transact(std::move(transaction));
-    // On a conflict or a lost answer the next pass reads the rows and finishes what is in.
+    // After a conflict or a lost answer the next pass reads the rows and finishes the updates that
+    // have taken effect.
     if (outcome && outcome->committed)
         finishFirst(written);
     co_return outcome.has_value();
 }
 
-/// Writes for the first `count` updates, which stay first; those with nothing left to write go.
+/// Returns the writes for the first `count` updates, which stay at the front of the queue. Updates
+/// that have nothing left to write are finished and removed.
 Transaction ClaimUpdates::prepare(const std::vector<Row> &rows, std::size_t count)
 {
     const WallTime now = m_context->clock.wallNow();
--- a/src/snipestall/peer/claim_updates.hpp
+++ b/src/snipestall/peer/claim_updates.hpp
@@ -13,29 +13,31 @@
 
 class ClaimContext;
 
-/// A change of a claim's row that must get into the table sooner or later.
+/// A change of a claim's row that must reach the table, but not at once.
 struct ClaimUpdate
 {
     enum class Kind {
-        /// Put the outcome of a granted claim beside it.
+        /// Store the outcome of a granted claim in its row.
         StoreOutcome,
-        /// Mark a claim that was never granted, so that the next claimer may have the key.
+        /// Mark a claim that was not granted as abandoned, so that the next claimer may have the
+        /// key.
         Abandon,
-        /// The same for a claim that was granted and not used.
-        GiveBack,
+        /// Mark a claim that was granted and not used as abandoned.
+        ReleaseUnused,
     };
 
     Kind kind = Kind::StoreOutcome;
     platform::RowKey rowKey;
-    /// StoreOutcome: attempt and outcome. GiveBack: attempt. Abandon: the whole row as its write
-    /// may have left it.
+    /// StoreOutcome: attempt and outcome. ReleaseUnused: attempt. Abandon: the whole row as the
+    /// claim's write may have stored it.
     ClaimRow row;
 };
 
-/// Writes updates in the background, many in one transaction, until the table has taken them.
+/// Writes updates in the background, many in one transaction, until the table has accepted them.
 ///
-/// Each pass reads the rows and writes against their versions, so an update whose answer was lost
-/// is seen to be in by the next pass, and one that no longer fits its row is dropped.
+/// Each pass reads the rows and writes conditionally on their versions. After a lost answer the
+/// next pass therefore sees whether an update took effect, and an update that no longer matches its
+/// row is dropped.
 class ClaimUpdates : public std::enable_shared_from_this<ClaimUpdates>
 {
 public:
@@ -45,8 +47,8 @@
 
 private:
     wire::Task<void> run();
-    /// False if the table did not take it.
-    wire::Task<bool> pass();
+    /// False if the table did not answer.
+    wire::Task<bool> runPass();
     [[nodiscard]] std::vector<platform::RowKey> nextKeys() const;
     platform::Transaction prepare(const std::vector<platform::Row> &rows, std::size_t count);
     void finishFirst(std::size_t count);
--- a/src/snipestall/peer/membership.cpp
+++ b/src/snipestall/peer/membership.cpp
@@ -38,36 +38,38 @@
     Member &member = m_members[name];
     member.name = name;
     member.dataCentre = dataCentre;
-    // The address of a member that answers is right; a lagging list may name its former one.
+    // The address of a live member is correct, but an outdated list may contain its former address.
     if (member.address.empty() || member.state != MemberState::Live)
         member.address = address;
 }
 
-void Membership::heard(const Heartbeat &heartbeat, std::chrono::steady_clock::time_point now)
+void Membership::heartbeatReceived(const Heartbeat &heartbeat,
+                                   std::chrono::steady_clock::time_point now)
 {
     if (heartbeat.name == m_self)
         return;
     Member &member = m_members[heartbeat.name];
-    // A message of a former incarnation, late on its way, says nothing of the present one.
+    // A delayed message of a former incarnation does not apply to the current one.
     if (heartbeat.incarnation < member.incarnation)
         return;
-    const bool known = member.incarnation != 0;
-    const bool reborn = heartbeat.incarnation > member.incarnation;
+    const bool reportedBefore = member.incarnation != 0;
+    const bool isNewIncarnation = heartbeat.incarnation > member.incarnation;
     member.name = heartbeat.name;
     member.dataCentre = heartbeat.dataCentre;
     member.incarnation = heartbeat.incarnation;
     member.lastHeard = now;
     member.settingsVersion = heartbeat.settingsVersion;
     member.pools = heartbeat.pools;
-    // What the settings or the list name stands, since it may lead through a gateway; but a new
-    // incarnation may have moved.
-    const bool moved = reborn && known;
-    if (!heartbeat.address.empty() && (member.address.empty() || moved))
+    // An address from the settings or the platform's list is kept, because it may lead through a
+    // gateway. But a new incarnation may have another address.
+    const bool mayHaveMoved = isNewIncarnation && reportedBefore;
+    if (!heartbeat.address.empty() && (member.address.empty() || mayHaveMoved))
         member.address = heartbeat.address;
-    const bool stays = member.state == MemberState::Leaving && !reborn;
-    // A quick replacement is never seen as silent; its listeners must hear of it all the same.
-    const bool gone = heartbeat.leaving || stays;
-    change(member, gone ? MemberState::Leaving : MemberState::Live, reborn);
+    const bool staysLeaving = member.state == MemberState::Leaving && !isNewIncarnation;
+    // An instance that is replaced quickly is never suspected, so a new incarnation must notify the
+    // listeners even if the state is unchanged.
+    const bool isLeaving = heartbeat.leaving || staysLeaving;
+    change(member, isLeaving ? MemberState::Leaving : MemberState::Live, isNewIncarnation);
 }
 
 void Membership::markLeaving(const std::string &name, std::uint64_t incarnation)
@@ -121,10 +123,10 @@
     return it == m_members.end() ? nullptr : &it->second;
 }
 
-void Membership::change(Member &member, MemberState state, bool reborn)
+void Membership::change(Member &member, MemberState state, bool isNewIncarnation)
 {
     const MemberState before = std::exchange(member.state, state);
-    if (before == state && !reborn)
+    if (before == state && !isNewIncarnation)
         return;
     logChange(member);
     for (const Listener &listener : m_listeners)
--- a/src/snipestall/peer/membership_test.cpp
+++ b/src/snipestall/peer/membership_test.cpp
@@ -10,7 +10,7 @@
 
 const Time Start { 1h };
 
-Heartbeat beat(const std::string &name, std::uint64_t incarnation, bool leaving = false)
+Heartbeat makeHeartbeat(const std::string &name, std::uint64_t incarnation, bool leaving = false)
 {
     return { name, "samsun-hall", incarnation, leaving, 0, {} };
 }
@@ -21,57 +21,58 @@
     Membership m_members { "samsun-1", "samsun-hall", 3000ms };
 };
 
-TEST_F(MembershipTest, ASilentMemberIsSuspectedAndComesBackWhenHeard)
+TEST_F(MembershipTest, AMemberWithoutHeartbeatsIsSuspectedUntilTheNextOne)
 {
-    m_members.heard(beat("samsun-2", 1), Start);
+    m_members.heartbeatReceived(makeHeartbeat("samsun-2", 1), Start);
     m_members.tick(Start + 4s);
     EXPECT_TRUE(m_members.livePeers().empty());
-    m_members.heard(beat("samsun-2", 1), Start + 5s);
+    m_members.heartbeatReceived(makeHeartbeat("samsun-2", 1), Start + 5s);
     EXPECT_EQ(m_members.livePeers().size(), 1U);
 }
 
-// An instance said that it leaves; then a heartbeat that was sent before, and the platform's
-// lagging list, still call it live. Taking either's word would send it new work until it dies.
+// An instance has announced that it is leaving. A heartbeat that was sent before and the platform's
+// outdated list still report it as live. Accepting either would send it new work until it stops.
 TEST_F(MembershipTest, LeavingIsStickyForOneIncarnation)
 {
-    m_members.heard(beat("samsun-2", 1, true), Start);
-    m_members.heard(beat("samsun-2", 1, false), Start + 1s);
+    m_members.heartbeatReceived(makeHeartbeat("samsun-2", 1, true), Start);
+    m_members.heartbeatReceived(makeHeartbeat("samsun-2", 1, false), Start + 1s);
     m_members.learn("samsun-2", "samsun-hall", "127.0.0.1:1");
     EXPECT_TRUE(m_members.livePeers().empty());
-    m_members.heard(beat("samsun-2", 2, false), Start + 2s);
+    m_members.heartbeatReceived(makeHeartbeat("samsun-2", 2, false), Start + 2s);
     EXPECT_EQ(m_members.livePeers().size(), 1U);
 }
 
-// A message of an instance's former life arrives after the new one has been heard. Were it
-// believed, the new instance would be taken for leaving and never be given work.
-TEST_F(MembershipTest, ALateMessageOfAFormerIncarnationSaysNothing)
+// A message of a former incarnation arrives after a heartbeat of the new one. If it were applied,
+// the new incarnation would be considered leaving and never get work.
+TEST_F(MembershipTest, ALateMessageOfAFormerIncarnationIsIgnored)
 {
-    m_members.heard(beat("samsun-2", 2), Start);
-    m_members.heard(beat("samsun-2", 1, true), Start + 1s);
+    m_members.heartbeatReceived(makeHeartbeat("samsun-2", 2), Start);
+    m_members.heartbeatReceived(makeHeartbeat("samsun-2", 1, true), Start + 1s);
     EXPECT_EQ(m_members.livePeers().size(), 1U);
 }
 
-// Two data centres are joined by gateways, whose addresses stand in the settings. A heartbeat names
-// the address behind the gateway; were that taken, this instance could not call its peer back.
-TEST_F(MembershipTest, TheAddressOfTheSettingsStandsUntilTheInstanceIsReplaced)
+// Two data centres are connected by gateways whose addresses are in the settings. A heartbeat
+// contains the address behind the gateway. With that address, this instance could not call its
+// peer.
+TEST_F(MembershipTest, TheAddressOfTheSettingsIsKeptUntilTheInstanceIsReplaced)
 {
     m_members.learn("samsun-2", "samsun-hall", "127.0.0.1:1");
-    Heartbeat heartbeat = beat("samsun-2", 1);
+    Heartbeat heartbeat = makeHeartbeat("samsun-2", 1);
     heartbeat.address = "127.0.0.1:2";
-    m_members.heard(heartbeat, Start);
+    m_members.heartbeatReceived(heartbeat, Start);
     EXPECT_EQ(m_members.find("samsun-2")->address, "127.0.0.1:1");
     heartbeat.incarnation = 2;
-    m_members.heard(heartbeat, Start + 1s);
+    m_members.heartbeatReceived(heartbeat, Start + 1s);
     EXPECT_EQ(m_members.find("samsun-2")->address, "127.0.0.1:2");
 }
 
-// The platform's list is down and a peer is first heard of by its own call: without the address
-// it names, it could never be given a copy or a request.
-TEST_F(MembershipTest, AnUnknownPeersOwnAddressIsTaken)
+// The platform's list is unavailable and a peer is first known by its own heartbeat. Without the
+// address in that heartbeat it could never get a copy or a request.
+TEST_F(MembershipTest, TheAddressInAnUnknownPeersHeartbeatIsUsed)
 {
-    Heartbeat heartbeat = beat("samsun-3", 1);
+    Heartbeat heartbeat = makeHeartbeat("samsun-3", 1);
     heartbeat.address = "127.0.0.1:3";
-    m_members.heard(heartbeat, Start);
+    m_members.heartbeatReceived(heartbeat, Start);
     EXPECT_EQ(m_members.find("samsun-3")->address, "127.0.0.1:3");
 }
 
--- a/src/snipestall/peer/peer_client.cpp
+++ b/src/snipestall/peer/peer_client.cpp
@@ -21,15 +21,16 @@
 namespace {
 
 constexpr int MaxMessageBytes = 64 * 1024 * 1024;
-/// A peer that came back is to be reached within a heartbeat or two, not after gRPC's default two
-/// minutes of backoff.
+/// A peer that is available again must be reached within one or two heartbeats, not after gRPC's
+/// default backoff of up to two minutes.
 constexpr int MaxReconnectBackoffMs = 1000;
 constexpr int MinReconnectBackoffMs = 100;
 
-tl::unexpected<Error> lostPeer(const grpc::Status &status)
+tl::unexpected<Error> peerCallFailed(const grpc::Status &status)
 {
     return fail(ErrorKind::OutcomeUnknown,
-                "peer lost: " + status.error_message() + "; whether it saw the call is unknown");
+                "call to peer failed: " + status.error_message()
+                    + "; whether the peer received it is unknown");
 }
 
 template<typename Reply>
@@ -65,7 +66,7 @@
 
 namespace {
 
-/// Starts a unary call and resumes on the loop when it is done.
+/// Starts a unary call and resumes on the event loop's thread when it has ended.
 template<typename State, typename Request, typename Reply, typename Start>
 Task<Result<Reply>> callUnary(std::shared_ptr<State> state, Request request,
                               std::chrono::milliseconds timeout, Start start, Reply *)
@@ -83,11 +84,11 @@
     co_await asio::async_initiate<const asio::use_awaitable_t<>, void()>(initiate,
                                                                          asio::use_awaitable);
     if (!call->status.ok())
-        co_return lostPeer(call->status);
+        co_return peerCallFailed(call->status);
     co_return std::move(call->reply);
 }
 
-/// One client stream; kept alive by itself until gRPC has let go of it.
+/// One client stream. It keeps itself alive until gRPC has called OnDone().
 class StreamState final : public grpc::ClientReadReactor<v1::ForwardEvent>,
                           public std::enable_shared_from_this<StreamState>
 {
@@ -102,10 +103,10 @@
     void begin()
     {
         m_self = shared_from_this();
-        // The next read starts on the loop's thread; without the hold gRPC could end the call
-        // between two reads, and the read after that would touch a dead call.
+        // The next read is started on the event loop's thread. Without the hold gRPC could end the
+        // call between two reads, and the second read would access a call that has ended.
         AddHold();
-        StartRead(&m_incoming);
+        StartRead(&m_nextEvent);
         StartCall();
     }
 
@@ -116,10 +117,10 @@
             return;
         }
         asio::post(m_io, [this, self = shared_from_this()] {
-            m_events.push_back(std::move(m_incoming));
-            m_incoming = {};
+            m_events.push_back(std::move(m_nextEvent));
+            m_nextEvent = {};
             m_signal.notifyAll();
-            StartRead(&m_incoming);
+            StartRead(&m_nextEvent);
         });
     }
 
@@ -144,7 +145,7 @@
             co_return event;
         }
         if (!m_status.ok())
-            co_return lostPeer(m_status);
+            co_return peerCallFailed(m_status);
         co_return std::optional<v1::ForwardEvent>();
     }
 
@@ -152,7 +153,7 @@
     asio::io_context &m_io;
     wire::Signal m_signal;
     grpc::ClientContext m_context;
-    v1::ForwardEvent m_incoming;
+    v1::ForwardEvent m_nextEvent;
     std::deque<v1::ForwardEvent> m_events;
     grpc::Status m_status;
     bool m_done = false;
--- a/src/snipestall/peer/peer_network.cpp
+++ b/src/snipestall/peer/peer_network.cpp
@@ -20,7 +20,8 @@
 
 constexpr std::chrono::milliseconds SettingsTimeout { 3000 };
 
-std::vector<PoolLoad> poolsOf(const google::protobuf::RepeatedPtrField<v1::PoolSummary> &summaries)
+std::vector<PoolLoad>
+decodePools(const google::protobuf::RepeatedPtrField<v1::PoolSummary> &summaries)
 {
     std::vector<PoolLoad> pools;
     pools.reserve(static_cast<std::size_t>(summaries.size()));
@@ -47,7 +48,7 @@
 }
 
 template<typename Message>
-void putPools(const std::vector<PoolLoad> &pools, Message &message)
+void addPools(const std::vector<PoolLoad> &pools, Message &message)
 {
     for (const PoolLoad &pool : pools) {
         v1::PoolSummary *summary = message.add_pools();
@@ -72,7 +73,7 @@
 }
 
 template<typename Message>
-void putLeaving(const std::vector<LeavingServer> &servers, Message &message)
+void addLeavingServers(const std::vector<LeavingServer> &servers, Message &message)
 {
     for (const LeavingServer &server : servers) {
         v1::LeavingServer *entry = message.add_leaving_servers();
@@ -82,7 +83,7 @@
 }
 
 template<typename Message>
-void putCrashes(const std::vector<CrashReport> &reports, Message &message)
+void addCrashes(const std::vector<CrashReport> &reports, Message &message)
 {
     for (const CrashReport &report : reports) {
         v1::CrashReport *entry = message.add_crashes();
@@ -118,7 +119,7 @@
 
 void PeerNetwork::start()
 {
-    boost::asio::co_spawn(m_io, loop(), boost::asio::detached);
+    boost::asio::co_spawn(m_io, heartbeatLoop(), boost::asio::detached);
 }
 
 void PeerNetwork::stop()
@@ -128,15 +129,15 @@
 
 void PeerNetwork::announce()
 {
-    round(true);
+    sendHeartbeats(true);
 }
 
-wire::Task<void> PeerNetwork::loop()
+wire::Task<void> PeerNetwork::heartbeatLoop()
 {
     const auto alive = m_alive;
     while (*alive) {
         m_members.tick(std::chrono::steady_clock::now());
-        round(false);
+        sendHeartbeats(false);
         co_await wire::sleepFor(m_options.interval);
     }
 }
@@ -144,25 +145,25 @@
 std::vector<std::string> PeerNetwork::targets() const
 {
     std::vector<std::string> names;
-    std::set<std::string> others;
+    std::set<std::string> otherDataCentres;
     for (const auto &[name, member] : m_members.members()) {
         if (member.dataCentre == m_members.dataCentre())
             names.push_back(name);
         else
-            others.insert(member.dataCentre);
+            otherDataCentres.insert(member.dataCentre);
     }
-    for (const std::string &dataCentre : others) {
-        const auto there = m_members.membersOf(dataCentre);
-        const auto order = rendezvousOrder(m_members.self(), there);
+    for (const std::string &dataCentre : otherDataCentres) {
+        const auto candidates = m_members.membersOf(dataCentre);
+        const auto order = rendezvousOrder(m_members.self(), candidates);
         const std::size_t links = std::min(order.size(), m_options.linksPerDataCentre);
         names.insert(names.end(), order.begin(), order.begin() + static_cast<long>(links));
     }
     return names;
 }
 
-// One exchange carries both sides' state, so a peer that has called within the interval is not
-// called back: that halves the control bytes of a data centre.
-void PeerNetwork::round(bool all)
+// One exchange transfers the state of both sides, so a peer that has called recently is not called
+// back within the interval. This halves the control bytes of a data centre.
+void PeerNetwork::sendHeartbeats(bool all)
 {
     const auto now = std::chrono::steady_clock::now();
     for (const std::string &name : targets()) {
@@ -170,8 +171,8 @@
             continue;
         const Channel &channel = *m_channels[name];
         const Member *member = m_members.find(name);
-        const bool heardLately = now - member->lastHeard < m_options.interval / 2;
-        if (channel.exchanging || (heardLately && !all))
+        const bool hasReportedRecently = now - member->lastHeard < m_options.interval / 2;
+        if (channel.exchanging || (hasReportedRecently && !all))
             continue;
         boost::asio::co_spawn(m_io, exchange(name), boost::asio::detached);
     }
@@ -206,7 +207,7 @@
     Heartbeat heartbeat;
     heartbeat.name = reply->instance();
     heartbeat.dataCentre = m_members.find(name)->dataCentre;
-    takeIn(*reply, heartbeat);
+    applyHeartbeat(*reply, heartbeat);
 }
 
 v1::HeartbeatRequest PeerNetwork::makeHeartbeat() const
@@ -217,9 +218,9 @@
     request.set_incarnation(m_incarnation);
     request.set_leaving(m_members.selfLeaving());
     request.set_settings_version(m_settings.version());
-    putPools(m_hooks.pools(), request);
-    putLeaving(m_hooks.leavingServers(), request);
-    putCrashes(m_hooks.crashes(), request);
+    addPools(m_hooks.pools(), request);
+    addLeavingServers(m_hooks.leavingServers(), request);
+    addCrashes(m_hooks.crashes(), request);
     request.set_address(m_options.ownAddress);
     return request;
 }
@@ -229,30 +230,30 @@
     Heartbeat heartbeat;
     heartbeat.name = request.instance();
     heartbeat.dataCentre = request.data_centre();
-    takeIn(request, heartbeat);
+    applyHeartbeat(request, heartbeat);
     v1::HeartbeatReply reply;
     reply.set_instance(m_members.self());
     reply.set_incarnation(m_incarnation);
     reply.set_leaving(m_members.selfLeaving());
     reply.set_settings_version(m_settings.version());
-    putPools(m_hooks.pools(), reply);
-    putLeaving(m_hooks.leavingServers(), reply);
-    putCrashes(m_hooks.crashes(), reply);
+    addPools(m_hooks.pools(), reply);
+    addLeavingServers(m_hooks.leavingServers(), reply);
+    addCrashes(m_hooks.crashes(), reply);
     reply.set_address(m_options.ownAddress);
     return reply;
 }
 
 template<typename Message>
-void PeerNetwork::takeIn(const Message &message, const Heartbeat &sender)
+void PeerNetwork::applyHeartbeat(const Message &message, const Heartbeat &sender)
 {
     Heartbeat heartbeat = sender;
     heartbeat.incarnation = message.incarnation();
     heartbeat.leaving = message.leaving();
     heartbeat.settingsVersion = message.settings_version();
-    heartbeat.pools = poolsOf(message.pools());
+    heartbeat.pools = decodePools(message.pools());
     heartbeat.address = message.address();
-    m_members.heard(heartbeat, std::chrono::steady_clock::now());
-    m_hooks.onHeard(heartbeat.name);
+    m_members.heartbeatReceived(heartbeat, std::chrono::steady_clock::now());
+    m_hooks.onHeartbeatApplied(heartbeat.name);
     for (const v1::LeavingServer &server : message.leaving_servers())
         m_hooks.onLeavingServer({ server.server(), server.incarnation() });
     for (const v1::CrashReport &report : message.crashes())
--- a/src/snipestall/peer/peer_server.cpp
+++ b/src/snipestall/peer/peer_server.cpp
@@ -18,10 +18,11 @@
 
 namespace {
 
-/// A peer's largest message: a batch of records with their bodies.
+/// Limit of a peer's largest message, which is a batch of records with their bodies.
 constexpr int MaxMessageBytes = 64 * 1024 * 1024;
 
-/// One server stream. gRPC calls its On... methods on a thread of its own, so each only posts.
+/// One server stream. gRPC calls the On... methods on its own threads, so they only post to the
+/// event loop.
 class StreamReactor final : public grpc::ServerWriteReactor<v1::ForwardEvent>
 {
 public:
@@ -34,13 +35,13 @@
         if (m_closed)
             return;
         m_pending.push_back(event);
-        pump();
+        writeNext();
     }
 
     void finish()
     {
         m_finishing = true;
-        pump();
+        writeNext();
     }
 
     void onCancelled(std::function<void()> callback)
@@ -57,7 +58,7 @@
             m_writing = false;
             if (!ok)
                 m_closed = true;
-            pump();
+            writeNext();
         });
     }
 
@@ -76,22 +77,22 @@
     {
         asio::post(m_io, [this] {
             m_done = true;
-            release();
+            deleteIfUnused();
         });
     }
 
-    /// The sink has let go; the reactor dies when gRPC has let go of it as well.
-    void letGo()
+    /// Called when the sink is destroyed. The reactor is deleted when OnDone() has been called too.
+    void sinkDestroyed()
     {
-        m_sinkGone = true;
+        m_isSinkDestroyed = true;
         m_onCancelled = nullptr;
         if (!m_finishing)
             finish();
-        release();
+        deleteIfUnused();
     }
 
 private:
-    void pump()
+    void writeNext()
     {
         if (m_writing || m_finished)
             return;
@@ -110,9 +111,9 @@
         }
     }
 
-    void release()
+    void deleteIfUnused()
     {
-        if (m_done && m_sinkGone)
+        if (m_done && m_isSinkDestroyed)
             delete this;
     }
 
@@ -126,7 +127,7 @@
     bool m_closed = false;
     bool m_cancelled = false;
     bool m_done = false;
-    bool m_sinkGone = false;
+    bool m_isSinkDestroyed = false;
 };
 
 class ReactorSink final : public ForwardSink
@@ -136,7 +137,7 @@
         : m_reactor(reactor)
     { }
 
-    ~ReactorSink() override { m_reactor->letGo(); }
+    ~ReactorSink() override { m_reactor->sinkDestroyed(); }
 
     void write(const v1::ForwardEvent &event) override { m_reactor->write(event); }
     void finish() override { m_reactor->finish(); }
@@ -221,7 +222,8 @@
                                                       std::shared_ptr<ForwardSink>))
     {
         auto *reactor = new StreamReactor(m_io);
-        // The request dies with the call, which may be cancelled before the loop gets here.
+        // The request is copied because it is destroyed with the call, which may be cancelled
+        // before the posted function runs.
         asio::post(m_io, [this, copy = *request, method, reactor] {
             (m_handler.*method)(copy, std::make_shared<ReactorSink>(reactor));
         });
@@ -250,7 +252,8 @@
 
 PeerServer::~PeerServer()
 {
-    // The loop has stopped by now and can't answer what is still open.
+    // The event loop has stopped, so calls that are still open can't be answered any more and the
+    // deadline is now.
     m_state->server->Shutdown(std::chrono::system_clock::now());
 }
 
--- a/src/snipestall/peer/pending_claim.hpp
+++ b/src/snipestall/peer/pending_claim.hpp
@@ -11,11 +11,11 @@
 
 namespace snipestall::peer {
 
-/// One call of claim(), from its start until the table has settled it.
+/// One call of ClaimKeeper::claim(), from its start until the claim is settled.
 struct PendingClaim
 {
-    PendingClaim(boost::asio::io_context &io, ClaimRequest asked)
-        : request(std::move(asked))
+    PendingClaim(boost::asio::io_context &io, ClaimRequest claimRequest)
+        : request(std::move(claimRequest))
         , rowKey(claimRowKey(request.key))
         , settled(io)
     { }
@@ -23,18 +23,19 @@
     ClaimRequest request;
     platform::RowKey rowKey;
     ClaimRow row;
-    /// Version of an abandoned row that this claim takes over; 0: the row must be absent.
+    /// Version of the abandoned row that this claim takes over, or 0 if the row must be absent.
     std::uint64_t expectedVersion = 0;
-    /// A repeat within this instance: its row is there, so reading is cheaper than a conflict.
+    /// Another claim of the same key preceded this one on this instance. Its row is in the table,
+    /// so a read is cheaper than a conflict.
     bool readFirst = false;
-    /// A write left whose fate is not known.
+    /// A write was sent whose outcome is not known.
     bool mayBeWritten = false;
-    /// Its caller was told Unsettled.
+    /// The caller was answered as Unsettled.
     bool givenUp = false;
-    /// Its batch has done with it.
+    /// The batch has settled or dropped the claim.
     bool finished = false;
     std::optional<ClaimOutcome> outcome;
-    /// Ends at the deadline; cancelled when the outcome is there.
+    /// Expires at the deadline and is cancelled when the outcome is set.
     boost::asio::steady_timer settled;
 };
 
--- a/src/snipestall/peer/record_keeper.cpp
+++ b/src/snipestall/peer/record_keeper.cpp
@@ -24,19 +24,19 @@
 
 namespace {
 
-/// Longer than a heartbeat's jitter, short against a first-token target: a buddy that is slower
-/// than this is passed over.
+/// Longer than the jitter of a heartbeat and short compared with a first-token target. A buddy that
+/// is slower is replaced by another one.
 constexpr std::chrono::milliseconds HoldTimeout { 400 };
 constexpr std::chrono::milliseconds HandoverTimeout { 3000 };
-constexpr std::size_t MaxBatch = 256;
+constexpr std::size_t MaxRecordsPerCall = 256;
 constexpr std::chrono::milliseconds ForgetDelay { 500 };
 
 } // namespace
 
 struct RecordKeeper::State
 {
-    /// What one buddy has of one request of ours.
-    struct Held
+    /// What the buddy of one request of this instance holds of it.
+    struct Replica
     {
         std::shared_ptr<RecordSource> source;
         std::string buddy;
@@ -45,14 +45,15 @@
         std::uint64_t progress = 0;
     };
 
-    struct Buddy
+    /// Requests to send to one buddy, and those that it may forget.
+    struct BuddyQueue
     {
         std::set<std::string> pending;
         std::vector<std::string> forget;
         bool sending = false;
     };
 
-    /// A copy that we keep for a home.
+    /// A copy that this instance holds for another home.
     struct Copy
     {
         v1::RequestRecord record;
@@ -60,12 +61,12 @@
         std::uint64_t homeIncarnation = 0;
     };
 
-    State(boost::asio::io_context &context, Membership &m, PeerNetwork &n, std::uint64_t own,
-          OrphanHandler handler)
+    State(boost::asio::io_context &context, Membership &membership, PeerNetwork &peers,
+          std::uint64_t ownIncarnation, OrphanHandler handler)
         : io(context)
-        , members(m)
-        , network(n)
-        , incarnation(own)
+        , members(membership)
+        , network(peers)
+        , incarnation(ownIncarnation)
         , onOrphan(std::move(handler))
         , changed(context.get_executor())
     { }
@@ -74,8 +75,8 @@
     void enqueue(const std::string &buddy, const std::string &id);
     Task<void> send(std::shared_ptr<State> self, std::string buddy);
     Task<void> flushForgets(std::shared_ptr<State> self, std::string buddy);
-    v1::HoldRequest makeBatch(Buddy &buddy, std::vector<std::string> &ids);
-    void adopt(const std::string &home, std::uint64_t homeIncarnation);
+    v1::HoldRequest makeBatch(BuddyQueue &buddy, std::vector<std::string> &ids);
+    void takeOver(const std::string &home, std::uint64_t homeIncarnation);
 
     boost::asio::io_context &io;
     Membership &members;
@@ -83,11 +84,11 @@
     std::uint64_t incarnation;
     OrphanHandler onOrphan;
     wire::Signal changed;
-    std::map<std::string, Held> held;
-    std::map<std::string, Buddy> buddies;
+    std::map<std::string, Replica> replicas;
+    std::map<std::string, BuddyQueue> buddyQueues;
     std::map<std::string, Copy> copies;
-    /// Buddies that failed lately, by request.
-    std::map<std::string, std::set<std::string>> failures;
+    /// Buddies that failed to take a copy, by request.
+    std::map<std::string, std::set<std::string>> failedBuddies;
 };
 
 std::string RecordKeeper::State::chooseBuddy(const std::string &id,
@@ -103,22 +104,22 @@
 
 void RecordKeeper::State::enqueue(const std::string &buddy, const std::string &id)
 {
-    Buddy &entry = buddies[buddy];
+    BuddyQueue &entry = buddyQueues[buddy];
     entry.pending.insert(id);
 }
 
-v1::HoldRequest RecordKeeper::State::makeBatch(Buddy &buddy, std::vector<std::string> &ids)
+v1::HoldRequest RecordKeeper::State::makeBatch(BuddyQueue &buddy, std::vector<std::string> &ids)
 {
     v1::HoldRequest request;
     request.set_holder_of(members.self());
     request.set_incarnation(incarnation);
-    while (!buddy.pending.empty() && ids.size() < MaxBatch) {
+    while (!buddy.pending.empty() && ids.size() < MaxRecordsPerCall) {
         const std::string id = *buddy.pending.begin();
         buddy.pending.erase(buddy.pending.begin());
-        const auto it = held.find(id);
-        if (it == held.end())
+        const auto it = replicas.find(id);
+        if (it == replicas.end())
             continue;
-        const Held &entry = it->second;
+        const Replica &entry = it->second;
         *request.add_records() = entry.source->record(!entry.whole, entry.progress);
         ids.push_back(id);
     }
@@ -130,34 +131,35 @@
 
 Task<void> RecordKeeper::State::send([[maybe_unused]] std::shared_ptr<State> self, std::string name)
 {
-    // co_spawn runs this inside hold(), before hold() waits. Where nothing below suspends, as when
-    // the buddy has no address, its wake would come before the wait and be lost: the request's
-    // answer would then never be released to its caller.
+    // co_spawn starts this function inside hold(), before hold() waits. If nothing below suspended,
+    // for example because the buddy has no address, the notification would come before the wait and
+    // be lost, and the request's answer would never be sent to its caller.
     co_await boost::asio::post(io, boost::asio::use_awaitable);
-    Buddy &buddy = buddies[name];
+    BuddyQueue &buddy = buddyQueues[name];
     if (buddy.sending)
         co_return;
     buddy.sending = true;
     while (!buddy.pending.empty() || !buddy.forget.empty()) {
         std::vector<std::string> ids;
         v1::HoldRequest request = makeBatch(buddy, ids);
-        std::map<std::string, std::uint64_t> reached;
+        std::map<std::string, std::uint64_t> sentProgress;
         for (const std::string &id : ids)
-            reached[id] = held.at(id).source->progress();
+            sentProgress[id] = replicas.at(id).source->progress();
         PeerClient *client = network.client(name);
-        Result<v1::HoldReply> reply = fail(ErrorKind::Unavailable, "no address");
+        Result<v1::HoldReply> reply =
+            fail(ErrorKind::Unavailable, "the address of the buddy is unknown");
         if (client != nullptr)
             reply = co_await client->hold(std::move(request), HoldTimeout);
         const bool accepted = reply && reply->accepted();
         for (const std::string &id : ids) {
-            const auto it = held.find(id);
-            if (it == held.end() || it->second.buddy != name)
+            const auto it = replicas.find(id);
+            if (it == replicas.end() || it->second.buddy != name)
                 continue;
             if (accepted) {
                 it->second.whole = true;
-                it->second.progress = reached[id];
+                it->second.progress = sentProgress[id];
             } else {
-                failures[id].insert(name);
+                failedBuddies[id].insert(name);
                 it->second.buddy.clear();
             }
         }
@@ -166,24 +168,24 @@
     buddy.sending = false;
 }
 
-// Forgetting is no hurry: it gathers, so that an ended request costs no call of its own.
+// Removals are not urgent. They are collected, so that an ended request needs no call of its own.
 Task<void> RecordKeeper::State::flushForgets(std::shared_ptr<State> self, std::string buddy)
 {
     co_await wire::sleepFor(ForgetDelay);
     co_await send(self, std::move(buddy));
 }
 
-// The home is gone: its requests are ours now. The map is emptied of them first, since taking one
-// over gives it a home here and a buddy of its own.
-void RecordKeeper::State::adopt(const std::string &home, std::uint64_t homeIncarnation)
+// The home has failed, so this instance takes its requests over. Their copies are removed from the
+// map first, because onOrphan gives a request a new home here and a buddy of its own.
+void RecordKeeper::State::takeOver(const std::string &home, std::uint64_t homeIncarnation)
 {
     std::vector<v1::RequestRecord> orphans;
     for (auto it = copies.begin(); it != copies.end();) {
-        const bool theirs =
+        const bool isOrphan =
             it->second.home == home && it->second.homeIncarnation <= homeIncarnation;
-        if (theirs)
+        if (isOrphan)
             orphans.push_back(std::move(it->second.record));
-        it = theirs ? copies.erase(it) : std::next(it);
+        it = isOrphan ? copies.erase(it) : std::next(it);
     }
     for (const v1::RequestRecord &record : orphans)
         onOrphan(record, false);
@@ -199,10 +201,11 @@
         if (!state)
             return;
         if (member.state == MemberState::Suspected)
-            state->adopt(member.name, member.incarnation);
-        // A new incarnation remembers nothing: what the former one accepted is for its buddies.
+            state->takeOver(member.name, member.incarnation);
+        // A new incarnation has no state, so the buddies must take over what the former one
+        // accepted.
         if (member.state == MemberState::Live && member.incarnation > 0)
-            state->adopt(member.name, member.incarnation - 1);
+            state->takeOver(member.name, member.incarnation - 1);
         state->changed.notifyAll();
     });
 }
@@ -213,23 +216,24 @@
 {
     const auto state = m_state;
     const std::string id = source->requestId();
-    const std::uint64_t wanted = source->progress();
-    State::Held &first = state->held[id];
+    const std::uint64_t requiredProgress = source->progress();
+    State::Replica &first = state->replicas[id];
     first.source = source;
     while (true) {
-        const auto it = state->held.find(id);
-        if (it == state->held.end())
+        const auto it = state->replicas.find(id);
+        if (it == state->replicas.end())
             co_return false;
-        State::Held &entry = it->second;
+        State::Replica &entry = it->second;
         const Member *buddy = state->members.find(entry.buddy);
         const bool usable = buddy != nullptr && buddy->state == MemberState::Live
             && buddy->incarnation == entry.buddyIncarnation;
-        if (usable && entry.whole && entry.progress >= wanted)
+        if (usable && entry.whole && entry.progress >= requiredProgress)
             co_return true;
         if (!usable) {
-            const auto failed = state->failures.find(id);
+            const auto failed = state->failedBuddies.find(id);
             const std::string chosen = state->chooseBuddy(
-                id, failed == state->failures.end() ? std::set<std::string> {} : failed->second);
+                id,
+                failed == state->failedBuddies.end() ? std::set<std::string> {} : failed->second);
             entry.whole = false;
             entry.progress = 0;
             entry.buddy = chosen;
@@ -239,7 +243,7 @@
         }
         const std::string name = entry.buddy;
         state->enqueue(name, id);
-        if (!state->buddies[name].sending)
+        if (!state->buddyQueues[name].sending)
             boost::asio::co_spawn(state->io, state->send(state, name), boost::asio::detached);
         co_await state->changed.wait();
     }
@@ -247,16 +251,16 @@
 
 void RecordKeeper::forget(const std::string &requestId)
 {
-    const auto it = m_state->held.find(requestId);
-    if (it == m_state->held.end())
+    const auto it = m_state->replicas.find(requestId);
+    if (it == m_state->replicas.end())
         return;
     const std::string buddy = it->second.buddy;
-    m_state->held.erase(it);
-    m_state->failures.erase(requestId);
+    m_state->replicas.erase(it);
+    m_state->failedBuddies.erase(requestId);
     if (buddy.empty())
         return;
-    m_state->buddies[buddy].forget.push_back(requestId);
-    if (m_state->buddies[buddy].forget.size() == 1)
+    m_state->buddyQueues[buddy].forget.push_back(requestId);
+    if (m_state->buddyQueues[buddy].forget.size() == 1)
         boost::asio::co_spawn(m_state->io, m_state->flushForgets(m_state, buddy),
                               boost::asio::detached);
 }
@@ -295,7 +299,7 @@
     reply.set_leaving(m_state->members.selfLeaving());
     for (const std::string &id : request.forget())
         m_state->copies.erase(id);
-    // A buddy that leaves itself would keep the copy for seconds at most.
+    // A buddy that is leaving itself would hold the copy for a few seconds at most.
     if (m_state->members.selfLeaving())
         return reply;
     for (const v1::RequestRecord &update : request.records()) {
@@ -303,12 +307,13 @@
         if (update.whole()) {
             copy.record = update;
         } else if (copy.record.whole()) {
-            const auto have =
+            const auto copiedPieces =
                 copy.record.output_offset() + static_cast<std::uint64_t>(copy.record.output_size());
-            // A repeated update overlaps; a gap means that an update was lost: ask for all of it.
-            if (update.output_offset() > have)
+            // A repeated update overlaps. A gap means that an update was lost; the refusal makes
+            // the home send the whole record to another buddy.
+            if (update.output_offset() > copiedPieces)
                 return reply;
-            const int skip = static_cast<int>(have - update.output_offset());
+            const int skip = static_cast<int>(copiedPieces - update.output_offset());
             for (int i = skip; i < update.output_size(); ++i)
                 copy.record.add_output(update.output(i));
             if (update.maybe_sent())
--- a/src/snipestall/peer/record_keeper_test.cpp
+++ b/src/snipestall/peer/record_keeper_test.cpp
@@ -46,13 +46,13 @@
                    })
     { }
 
-    void hear(const std::string &name, std::uint64_t incarnation = 1)
+    void receiveHeartbeat(const std::string &name, std::uint64_t incarnation = 1)
     {
         Heartbeat heartbeat;
         heartbeat.name = name;
         heartbeat.dataCentre = "samsun-hall";
         heartbeat.incarnation = incarnation;
-        m_members.heard(heartbeat, std::chrono::steady_clock::time_point(1h));
+        m_members.heartbeatReceived(heartbeat, std::chrono::steady_clock::time_point(1h));
     }
 
     /// A copy sent by another instance of the data centre.
@@ -84,12 +84,12 @@
     RecordKeeper m_keeper;
 };
 
-// A caller is refused in the first second of a new data centre and never gets its answer: its
-// connection hangs past every deadline. The only peer has called here but has no address yet; the
-// failed copy wakes the waiter before it waits, and nothing wakes it again.
-TEST_F(RecordKeeperTest, ABuddyWithoutAnAddressDoesNotHoldTheAnswerBack)
+// In the first second of a new data centre the only peer has sent a heartbeat but its address is
+// not known yet. If the failed copy notifies hold() before hold() waits, nothing notifies it again:
+// the caller never gets its answer and its connection hangs past every deadline.
+TEST_F(RecordKeeperTest, ABuddyWithoutAnAddressDoesNotBlockTheAnswer)
 {
-    hear("samsun-2");
+    receiveHeartbeat("samsun-2");
     bool ended = false;
     bool held = true;
     boost::asio::co_spawn(
@@ -105,8 +105,9 @@
     EXPECT_FALSE(held);
 }
 
-// An instance dies in mid-stream. Its buddy goes on from its copy: were a lost update skipped or a
-// repeated one added again, the caller would read an answer with a hole or a doubled token.
+// An instance crashes during a stream and its buddy continues from the copy. If a lost update were
+// skipped or a repeated one appended again, the caller would read an answer with a gap or a
+// duplicated token.
 TEST_F(RecordKeeperTest, ACopyHasNoGapAndNoRepeat)
 {
     EXPECT_TRUE(receive(update(true, 0, 2)));
@@ -124,9 +125,9 @@
     EXPECT_EQ(m_keeper.copy("samsun-2~9"), nullptr);
 }
 
-TEST_F(RecordKeeperTest, TheCopiesOfASilentHomeAreTakenOver)
+TEST_F(RecordKeeperTest, TheCopiesOfASuspectedHomeAreTakenOver)
 {
-    hear("samsun-2");
+    receiveHeartbeat("samsun-2");
     EXPECT_TRUE(receive(update(true, 0, 1)));
     m_members.tick(std::chrono::steady_clock::time_point(1h) + 4s);
     ASSERT_EQ(m_orphans.size(), 1U);
@@ -134,13 +135,14 @@
     EXPECT_EQ(m_keeper.copies(), 0U);
 }
 
-// An instance is replaced so fast that it is never suspected. The new one knows nothing of what
-// the former accepted; without a look at the incarnation those requests would be lost.
+// An instance is replaced so fast that it is never suspected. The new incarnation does not have the
+// requests that the former one accepted, so they are lost unless the change of incarnation is
+// noticed.
 TEST_F(RecordKeeperTest, TheCopiesOfAFormerIncarnationAreTakenOver)
 {
-    hear("samsun-2", 1);
+    receiveHeartbeat("samsun-2", 1);
     EXPECT_TRUE(receive(update(true, 0, 1)));
-    hear("samsun-2", 2);
+    receiveHeartbeat("samsun-2", 2);
     EXPECT_EQ(m_orphans.size(), 1U);
 }
 
--- a/src/snipestall/peer/settings_keeper.cpp
+++ b/src/snipestall/peer/settings_keeper.cpp
@@ -13,9 +13,9 @@
     : m_dataCentre(std::move(dataCentre))
 { }
 
-// An instance hears of settings from the table and from several peers, in any order and late. A
-// late, older document put in force would undo an operator's change, so only a greater version
-// replaces what is held.
+// An instance receives settings from the table and from several peers, in any order and with delay.
+// Applying an older document would undo an operator's change, so only a greater version replaces
+// the current one.
 bool SettingsKeeper::offer(const SettingsDocument &document)
 {
     if (document.version <= m_document.version)
@@ -28,7 +28,8 @@
     m_document = document;
     m_effective = tree->effective(m_dataCentre, document.version);
     logEvent(events::SettingsApplied, { { "version", std::to_string(document.version) } });
-    // Such an instance has no share of any limit. Without a word it would look healthy.
+    // An instance whose data centre is not in the settings has no share of any limit. Without a log
+    // entry it would look healthy.
     const std::vector<std::string> dataCentres = tree->dataCentres();
     if (std::ranges::find(dataCentres, m_dataCentre) == dataCentres.end())
         logEvent(events::DataCentreUnknown, { { "data_centre", m_dataCentre } });
--- a/src/snipestall/peer/settings_keeper_test.cpp
+++ b/src/snipestall/peer/settings_keeper_test.cpp
@@ -17,9 +17,9 @@
     return { version, tree ? tree->hash() : "faulty", tree ? tree->toYaml() : yaml };
 }
 
-// An operator lowers a limit; then a peer that was cut off offers what it still holds. Were the
-// late, older document taken, the limit would be back up with nobody having raised it.
-TEST(SettingsKeeperTest, AnOlderDocumentThatComesLateChangesNothing)
+// An operator lowers a limit, and then a peer that was cut off offers its older document. If it
+// were applied, the limit would be raised again without any operator's change.
+TEST(SettingsKeeperTest, ALateOlderDocumentIsIgnored)
 {
     SettingsKeeper keeper("samsun-hall");
     int applied = 0;
@@ -33,9 +33,9 @@
     EXPECT_EQ(keeper.effective()->version, 8U);
 }
 
-// A document was damaged on its way. Put in force it would give this instance other settings
-// than the rest under the same version, and nothing would ever correct it.
-TEST(SettingsKeeperTest, ADocumentThatDoesNotFitItsHashIsRefused)
+// A document was damaged in transit. If it were applied, this instance would have other settings
+// than the others under the same version, and nothing would ever correct that.
+TEST(SettingsKeeperTest, ADocumentThatDoesNotMatchItsHashIsRefused)
 {
     SettingsKeeper keeper("samsun-hall");
     SettingsDocument damaged = document(3, 10);
--- a/src/snipestall/peer/settings_proposal.cpp
+++ b/src/snipestall/peer/settings_proposal.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-using Trees = tl::expected<settings::Tree, std::vector<settings::Fault>>;
+using ParsedTree = tl::expected<settings::Tree, std::vector<settings::Fault>>;
 
 tl::unexpected<ChangeRefusal> refuse(ErrorKind kind, std::string message, std::uint64_t current)
 {
@@ -21,12 +21,12 @@
     return tl::unexpected<ChangeRefusal>(std::move(refusal));
 }
 
-tl::unexpected<ChangeRefusal> refuseFaulty(std::vector<settings::Fault> faults,
-                                           std::uint64_t current)
+tl::unexpected<ChangeRefusal> refuseInvalid(std::vector<settings::Fault> faults,
+                                            std::uint64_t current)
 {
     ChangeRefusal refusal;
     refusal.error = { ErrorKind::InvalidArgument,
-                      "the settings would be faulty; mend each path listed" };
+                      "the settings would be invalid; correct each path listed" };
     refusal.faults = std::move(faults);
     refusal.currentVersion = current;
     return tl::unexpected<ChangeRefusal>(std::move(refusal));
@@ -37,34 +37,35 @@
 {
     ChangeRefusal refusal;
     refusal.error = { ErrorKind::Conflict,
-                      "another operator changed these paths; look at version "
-                          + std::to_string(current) + " and decide again" };
+                      "another operator changed these paths; check version "
+                          + std::to_string(current) + " and submit the change again" };
     refusal.theirs = std::move(theirs);
     refusal.currentVersion = current;
     return tl::unexpected<ChangeRefusal>(std::move(refusal));
 }
 
-/// Those of `theirs` that one of the edits touches.
-std::vector<settings::Difference> touched(const std::vector<settings::Difference> &theirs,
-                                          std::span<const settings::Edit> edits)
+/// Those of `theirs` whose paths one of the edits touches.
+std::vector<settings::Difference> touchedBy(const std::vector<settings::Difference> &theirs,
+                                            std::span<const settings::Edit> edits)
 {
-    std::vector<settings::Difference> both;
+    std::vector<settings::Difference> common;
     for (const settings::Difference &difference : theirs) {
         if (settings::touch(std::span(&difference, 1), edits))
-            both.push_back(difference);
+            common.push_back(difference);
     }
-    return both;
+    return common;
 }
 
-/// The others' changes that stand in the way; a whole document touches every path.
-std::vector<settings::Difference> inTheWay(const SettingsChange &change, const settings::Tree &base,
-                                           const settings::Tree &head)
+/// The other operators' changes that conflict with this one. A whole document touches every path.
+std::vector<settings::Difference> conflictingDifferences(const SettingsChange &change,
+                                                         const settings::Tree &base,
+                                                         const settings::Tree &head)
 {
     std::vector<settings::Difference> theirs = settings::differences(base, head);
-    return change.yaml.empty() ? touched(theirs, change.edits) : theirs;
+    return change.yaml.empty() ? touchedBy(theirs, change.edits) : theirs;
 }
 
-SettingsProposal proposalOf(const settings::Tree &tree, std::uint64_t headVersion)
+SettingsProposal makeProposal(const settings::Tree &tree, std::uint64_t headVersion)
 {
     SettingsProposal proposal;
     proposal.document = { headVersion + 1, tree.hash(), tree.toYaml() };
@@ -77,42 +78,43 @@
 propose(const SettingsChange &change, const SettingsDocument &base, const SettingsDocument &head)
 {
     if (change.edits.empty() == change.yaml.empty())
-        return refuse(ErrorKind::InvalidArgument, "give either edits or one whole document",
+        return refuse(ErrorKind::InvalidArgument, "submit either edits or one whole document",
                       head.version);
     if (change.baseVersion > head.version)
         return refuse(ErrorKind::InvalidArgument,
                       "there is no version " + std::to_string(change.baseVersion)
-                          + " yet; read the head and use its number",
+                          + " yet; read the current version and use its number",
                       head.version);
     if (head.version == 0) {
         if (change.yaml.empty())
             return refuse(ErrorKind::InvalidArgument,
-                          "there are no settings yet; put a whole document first", 0);
-        const Trees first = settings::Tree::parse(change.yaml);
-        return first ? tl::expected<SettingsProposal, ChangeRefusal>(proposalOf(*first, 0))
-                     : refuseFaulty(first.error(), 0);
+                          "there are no settings yet; submit a whole document first", 0);
+        const ParsedTree first = settings::Tree::parse(change.yaml);
+        return first ? tl::expected<SettingsProposal, ChangeRefusal>(makeProposal(*first, 0))
+                     : refuseInvalid(first.error(), 0);
     }
     if (change.baseVersion == 0)
         return refuse(ErrorKind::Conflict,
                       "there are settings already; read version " + std::to_string(head.version)
-                          + " and change that",
+                          + " and submit a change of it",
                       head.version);
-    const Trees headTree = settings::Tree::parse(head.yaml);
-    const Trees baseTree = settings::Tree::parse(base.yaml);
+    const ParsedTree headTree = settings::Tree::parse(head.yaml);
+    const ParsedTree baseTree = settings::Tree::parse(base.yaml);
     if (!headTree || !baseTree)
-        return refuse(ErrorKind::Internal,
-                      "a stored version fails today's checks; put a whole document against it",
-                      head.version);
+        return refuse(
+            ErrorKind::Internal,
+            "a stored version fails the current checks; submit a whole document against it",
+            head.version);
     if (base.version != head.version) {
-        auto theirs = inTheWay(change, *baseTree, *headTree);
+        auto theirs = conflictingDifferences(change, *baseTree, *headTree);
         if (!theirs.empty())
             return refuseConflict(std::move(theirs), head.version);
     }
-    const Trees next = change.yaml.empty() ? settings::withEdits(*headTree, change.edits)
-                                           : settings::Tree::parse(change.yaml);
+    const ParsedTree next = change.yaml.empty() ? settings::withEdits(*headTree, change.edits)
+                                                : settings::Tree::parse(change.yaml);
     if (!next)
-        return refuseFaulty(next.error(), head.version);
-    SettingsProposal proposal = proposalOf(*next, head.version);
+        return refuseInvalid(next.error(), head.version);
+    SettingsProposal proposal = makeProposal(*next, head.version);
     proposal.differences = settings::differences(*headTree, *next);
     return proposal;
 }
--- a/src/snipestall/peer/settings_proposal.hpp
+++ b/src/snipestall/peer/settings_proposal.hpp
@@ -12,16 +12,17 @@
 
 namespace snipestall::peer {
 
-/// The next version as it would be written.
+/// The next version of the settings as it would be written, and its differences from the head.
 struct SettingsProposal
 {
     SettingsDocument document;
     std::vector<settings::Difference> differences;
 };
 
-/// What `change` makes of `head`. `base` is the version that the operator saw; where it is older
-/// than the head, the change is rebased if it touches no path changed since, and refused as
-/// Conflict, showing the others' changes of those paths, if it does. No I/O.
+/// Applies `change` to `head` without I/O. `base` is the version on which the operator based the
+/// change. If it is older than the head, the change is rebased if it touches no path that was
+/// changed since. Otherwise it is refused as Conflict with the other operators' changes of those
+/// paths.
 tl::expected<SettingsProposal, ChangeRefusal>
 propose(const SettingsChange &change, const SettingsDocument &base, const SettingsDocument &head);
 
--- a/src/snipestall/peer/settings_rows.cpp
+++ b/src/snipestall/peer/settings_rows.cpp
@@ -14,7 +14,7 @@
 constexpr std::string_view AuditTable = "audit";
 constexpr std::string_view VersionPrefix = "v/";
 
-/// Fixed width, so that the table's order by key is the order of versions.
+/// Pads a version to a fixed width, so that the table's order by key is the order of versions.
 std::string padded(std::uint64_t version)
 {
     std::string digits = std::to_string(version);
@@ -30,8 +30,8 @@
         return decoder(parsed.as_object());
     } catch (const std::exception &damaged) {
         return fail(ErrorKind::Internal,
-                    "row " + row.key.table + "/" + row.key.key + " can't be read: " + damaged.what()
-                        + "; look at it in the platform's table");
+                    "can't decode row " + row.key.table + "/" + row.key.key + ": " + damaged.what()
+                        + "; inspect it in the platform's table");
     }
 }
 
--- a/src/snipestall/peer/settings_rows.hpp
+++ b/src/snipestall/peer/settings_rows.hpp
@@ -10,7 +10,8 @@
 
 namespace snipestall::peer {
 
-/// The head as read: which version is current, and the row's own version to write against.
+/// The decoded head row: the current settings version and, as `storedVersion`, the version of the
+/// row itself, which a write must match.
 struct SettingsHead
 {
     std::uint64_t version = 0;
@@ -18,34 +19,35 @@
     std::uint64_t storedVersion = 0;
 };
 
-// Names of the settings' rows.
+// Keys of the rows of the settings.
 platform::RowKey headKey();
 platform::RowKey versionKey(std::uint64_t version);
 platform::RowKey auditKey(std::uint64_t version);
-/// Names the version that a change made, so that its repeat finds it however much came after.
+/// Key of the row with the version that a change made, so that a repeat of the change finds it
+/// after any number of later changes.
 platform::RowKey changeKey(const std::string &changeId);
 
-// Their values.
+// Values of the rows of the settings.
 std::string encodeHead(const SettingsDocument &document, const std::string &changeId);
 std::string encodeVersion(const SettingsDocument &document, const std::string &changeId);
 std::string encodeChange(std::uint64_t version);
 
-/// Null if the row is not among them.
+/// The row with that key, or null if it is not among `rows`.
 const platform::Row *findRow(std::span<const platform::Row> rows, const platform::RowKey &key);
 
-// Internal if a row is damaged. An absent head is version 0.
+// Decoders of the rows. Internal if a row is damaged. An absent head row is version 0.
 Result<SettingsHead> decodeHead(const platform::Row *row);
 Result<SettingsDocument> decodeVersion(std::uint64_t version, const platform::Row &row);
 Result<std::uint64_t> decodeChange(const platform::Row &row);
 
-/// What retention has to know of a version row.
+/// The fields of a version row that its removal needs.
 struct StoredVersion
 {
     std::uint64_t version = 0;
     std::string changeId;
 };
 
-/// Where version rows are found by a scan.
+/// Table and key prefix for a scan of the version rows.
 platform::RowKey versionPrefix();
 Result<StoredVersion> decodeStoredVersion(const platform::Row &row);
 
--- a/src/snipestall/peer/settings_store.cpp
+++ b/src/snipestall/peer/settings_store.cpp
@@ -18,22 +18,23 @@
 
 namespace {
 
-/// Each round loses only to another operator's change that took effect; eight lost races in a row
-/// mean a script that changes settings without end, and its author should hear of it.
-constexpr int MaxRounds = 8;
-/// Versions removed in one go: their rows are read whole, and 16 documents of 20 KB are about what
-/// a table answers in one piece.
-constexpr std::size_t RemovedTogether = 16;
+/// Attempts to write a change. An attempt conflicts only with another operator's change that took
+/// effect. Eight conflicts in a row indicate a script that changes the settings continuously, and
+/// its author should see the error.
+constexpr int MaxAttempts = 8;
+/// Versions removed in one call. Their rows are read with their documents, and 16 documents of 20
+/// KB are about what a table returns in one response.
+constexpr std::size_t MaxVersionsPerCall = 16;
 
-/// The rows that say where a change stands, read in one go.
-struct Standing
+/// Head row and change row of a change, read in one call.
+struct ChangeStatus
 {
     SettingsHead head;
-    /// The version that the change made, if it is in.
-    std::optional<std::uint64_t> made;
+    /// The version that the change made, if it has taken effect.
+    std::optional<std::uint64_t> appliedVersion;
 };
 
-Task<Result<Standing>> readStanding(platform::TableService &table, std::string changeId)
+Task<Result<ChangeStatus>> readChangeStatus(platform::TableService &table, std::string changeId)
 {
     const std::vector<RowKey> keys { headKey(), changeKey(changeId) };
     const auto rows = co_await table.read(keys);
@@ -42,18 +43,18 @@
     const auto head = decodeHead(findRow(*rows, headKey()));
     if (!head)
         co_return tl::unexpected<Error>(head.error());
-    Standing standing { *head, std::nullopt };
+    ChangeStatus status { *head, std::nullopt };
     const Row *change = findRow(*rows, changeKey(changeId));
     if (change == nullptr)
-        co_return standing;
-    const auto made = decodeChange(*change);
-    if (!made)
-        co_return tl::unexpected<Error>(made.error());
-    standing.made = *made;
-    co_return standing;
+        co_return status;
+    const auto appliedVersion = decodeChange(*change);
+    if (!appliedVersion)
+        co_return tl::unexpected<Error>(appliedVersion.error());
+    status.appliedVersion = *appliedVersion;
+    co_return status;
 }
 
-/// Head and base documents of a change.
+/// Head and base documents for a change.
 struct Versions
 {
     SettingsDocument base;
@@ -79,8 +80,9 @@
     co_return versions;
 }
 
-/// Head, version, change and audit rows together. The head's row version decides a race; the other
-/// rows must be new, so a version once written is never overwritten and an id counts once.
+/// The transaction with head, version, change and audit rows. The head's row version decides a
+/// race. Version and change rows must be new, so a stored version is never overwritten and a change
+/// id takes effect only once.
 Transaction transactionFor(const SettingsProposal &proposal, const SettingsHead &head,
                            const AuditRecord &audit)
 {
@@ -97,7 +99,7 @@
     return transaction;
 }
 
-AuditRecord auditOf(const SettingsChange &change, const SettingsProposal &proposal, WallTime now)
+AuditRecord makeAudit(const SettingsChange &change, const SettingsProposal &proposal, WallTime now)
 {
     AuditRecord audit;
     audit.changeId = change.id;
@@ -118,89 +120,91 @@
     return tl::unexpected<ChangeRefusal>(std::move(refused));
 }
 
-/// A failure before the change is known to be out: if an earlier write may have taken effect, it
-/// must not be reported as having had none.
-tl::unexpected<ChangeRefusal> failed(Error error, bool mayBeIn)
+/// Refusal after an error. If an earlier write may have taken effect, the error becomes
+/// OutcomeUnknown, because any other error means that the change did not take effect.
+tl::unexpected<ChangeRefusal> failed(Error error, bool mayHaveTakenEffect)
 {
-    if (mayBeIn)
+    if (mayHaveTakenEffect)
         error = {
             ErrorKind::OutcomeUnknown,
-            "whether the change is in could not be read back; send it again with the same id"
+            "can't read back whether the change took effect; send it again with the same id"
         };
     return refusal(std::move(error), 0);
 }
 
-/// What one round came to.
-struct Round
+/// Result of one attempt to write a change.
+struct AttemptResult
 {
     using Settled = tl::expected<SettingsDocument, ChangeRefusal>;
 
     std::optional<Settled> settled;
-    /// The table does not answer; this round had no effect.
+    /// The table did not answer or a row is damaged. This attempt had no effect.
     std::optional<Error> error;
     /// The write may have taken effect.
     bool answerLost = false;
 };
 
-Round inError(Error error)
+AttemptResult failedAttempt(Error error)
 {
-    Round round;
-    round.error = std::move(error);
-    return round;
+    AttemptResult attempt;
+    attempt.error = std::move(error);
+    return attempt;
 }
 
-Round settledAs(Round::Settled settled)
+AttemptResult settledAttempt(AttemptResult::Settled settled)
 {
-    Round round;
-    round.settled = std::move(settled);
-    return round;
+    AttemptResult attempt;
+    attempt.settled = std::move(settled);
+    return attempt;
 }
 
-Task<Round> writeOnce(platform::TableService &table, SettingsProposal proposal, SettingsHead head,
-                      AuditRecord audit)
+Task<AttemptResult> writeOnce(platform::TableService &table, SettingsProposal proposal,
+                              SettingsHead head, AuditRecord audit)
 {
     Transaction transaction = transactionFor(proposal, head, audit);
     const auto outcome = co_await table.transact(std::move(transaction));
     if (!outcome && outcome.error().kind == ErrorKind::Unavailable)
-        co_return inError(outcome.error());
-    Round round;
-    round.answerLost = !outcome;
+        co_return failedAttempt(outcome.error());
+    AttemptResult attempt;
+    attempt.answerLost = !outcome;
     if (outcome && outcome->committed)
-        round.settled = std::move(proposal.document);
-    co_return round;
+        attempt.settled = std::move(proposal.document);
+    co_return attempt;
 }
 
 // The table's answer can be lost after the write took effect, and the operator's client then sends
-// the change again, possibly after others have changed the settings. Each round therefore begins by
-// reading the row of the change's id: if it is there, the change is in and is not made again.
-Task<Round> changeOnce(SettingsStore &store, platform::TableService &table, SettingsChange change,
-                       WallTime now)
+// the change again, possibly after other operators have changed the settings. Each attempt
+// therefore begins by reading the change row: if it exists, the change has taken effect and is not
+// made again.
+Task<AttemptResult> changeOnce(SettingsStore &store, platform::TableService &table,
+                               SettingsChange change, WallTime now)
 {
-    const auto standing = co_await readStanding(table, change.id);
-    if (!standing)
-        co_return inError(standing.error());
-    if (standing->made) {
-        auto made = co_await store.version(*standing->made);
-        if (!made) {
-            Round round = inError(made.error());
-            round.answerLost = true;
-            co_return round;
+    const auto status = co_await readChangeStatus(table, change.id);
+    if (!status)
+        co_return failedAttempt(status.error());
+    if (status->appliedVersion) {
+        auto document = co_await store.version(*status->appliedVersion);
+        if (!document) {
+            AttemptResult attempt = failedAttempt(document.error());
+            attempt.answerLost = true;
+            co_return attempt;
         }
-        co_return settledAs(std::move(*made));
+        co_return settledAttempt(std::move(*document));
     }
-    const auto versions = co_await readVersions(store, change.baseVersion, standing->head.version);
+    const auto versions = co_await readVersions(store, change.baseVersion, status->head.version);
     if (!versions)
-        co_return inError(versions.error());
+        co_return failedAttempt(versions.error());
     auto proposal = propose(change, versions->base, versions->head);
     if (!proposal)
-        co_return settledAs(tl::unexpected<ChangeRefusal>(std::move(proposal.error())));
-    AuditRecord audit = auditOf(change, *proposal, now);
-    co_return co_await writeOnce(table, std::move(*proposal), standing->head, std::move(audit));
+        co_return settledAttempt(tl::unexpected<ChangeRefusal>(std::move(proposal.error())));
+    AuditRecord audit = makeAudit(change, *proposal, now);
+    co_return co_await writeOnce(table, std::move(*proposal), status->head, std::move(audit));
 }
 
-// Version and change rows go together. Were a change's row removed alone, its late repeat would be
-// made a second time; without the version that it was made against, the repeat is refused instead.
-Transaction removalOf(const std::vector<Row> &oldest, std::uint64_t newestRemoved)
+// A version row and its change row are removed together. If only the change row were removed, a
+// late repeat of the change would take effect a second time. Without the base version the repeat is
+// refused instead.
+Transaction removalTransaction(const std::vector<Row> &oldest, std::uint64_t newestRemoved)
 {
     Transaction transaction;
     for (const Row &row : oldest) {
@@ -225,21 +229,22 @@
 {
     if (change.id.empty()) {
         Error error { ErrorKind::InvalidArgument,
-                      "a change needs an id; let the client choose one" };
+                      "the change has no id; let the client choose one" };
         co_return refusal(std::move(error), 0);
     }
-    bool mayBeIn = false;
-    for (int round = 0; round < MaxRounds; ++round) {
+    bool mayHaveTakenEffect = false;
+    for (int count = 0; count < MaxAttempts; ++count) {
         auto result = co_await changeOnce(*this, m_table, change, m_clock.wallNow());
         if (result.settled)
             co_return std::move(*result.settled);
-        mayBeIn = mayBeIn || result.answerLost;
+        mayHaveTakenEffect = mayHaveTakenEffect || result.answerLost;
         if (result.error)
-            co_return failed(std::move(*result.error), mayBeIn);
+            co_return failed(std::move(*result.error), mayHaveTakenEffect);
     }
     Error error { ErrorKind::Exhausted,
-                  "other changes came first each time; wait for them to end and send it again" };
-    co_return failed(std::move(error), mayBeIn);
+                  "other changes took effect first each time; wait until they have ended and send "
+                  "the change again" };
+    co_return failed(std::move(error), mayHaveTakenEffect);
 }
 
 Task<Result<SettingsDocument>> SettingsStore::head()
@@ -283,17 +288,17 @@
     const auto current = co_await headVersion();
     if (!current)
         co_return tl::unexpected<Error>(current.error());
-    // The head's own version is always kept.
+    // The current version is always kept.
     const std::uint64_t kept = std::max<std::uint64_t>(keep, 1);
     if (*current <= kept)
         co_return std::size_t(0);
     const RowKey prefix = versionPrefix();
-    const std::string fromTheFirst;
+    const std::string unrestricted;
     const auto oldest =
-        co_await m_table.scan(prefix.table, prefix.key, fromTheFirst, RemovedTogether);
+        co_await m_table.scan(prefix.table, prefix.key, unrestricted, MaxVersionsPerCall);
     if (!oldest)
         co_return tl::unexpected<Error>(oldest.error());
-    Transaction transaction = removalOf(*oldest, *current - kept);
+    Transaction transaction = removalTransaction(*oldest, *current - kept);
     const std::size_t removed = transaction.conditions.size();
     if (removed == 0)
         co_return removed;
--- a/src/snipestall/peer/settings_store_test.cpp
+++ b/src/snipestall/peer/settings_store_test.cpp
@@ -70,9 +70,9 @@
     EXPECT_EQ(audit(2, 10).size(), 1U);
 }
 
-// Two operators change the same path at once. Were the second one simply written, the first's
-// change would be gone without either of them knowing.
-TEST_F(SettingsStoreTest, ARaceOnOnePathIsRefusedWithTheOthersChangeShown)
+// Two operators change the same path at the same time. If the second change were simply written,
+// the first would be lost without either of them noticing.
+TEST_F(SettingsStoreTest, AConflictOnOnePathIsRefusedWithTheOtherChange)
 {
     change(whole("c1"));
     change(edit("c2", 1, "customers/kiyi/weight", "3"));
@@ -85,8 +85,8 @@
     EXPECT_EQ(head(), 2U);
 }
 
-// Two operators change different paths against the same version. Refusing the second would make
-// them queue up behind each other for nothing; writing it as it is would take the first's back.
+// Two operators change different paths of the same version. Refusing the second change would make
+// them wait for each other without need, and writing its whole document would revert the first.
 TEST_F(SettingsStoreTest, AChangeElsewhereIsRebased)
 {
     change(whole("c1"));
@@ -100,8 +100,8 @@
     EXPECT_NE(rebased->yaml.find("3"), std::string::npos);
 }
 
-// Another operator's change takes effect between this one's read and its write. The head's row
-// version refuses the write, and the change is made again on top of the other.
+// Another operator's change takes effect between the read and the write of this one. The condition
+// on the head's row version fails, and the change must be made again on top of the other.
 TEST_F(SettingsStoreTest, AChangeOvertakenBetweenReadAndWriteIsMadeOnTop)
 {
     change(whole("c1"));
@@ -119,8 +119,8 @@
     EXPECT_EQ(head(), 3U);
 }
 
-// The answer to the write is lost after it took effect. Made again, the change would appear twice
-// in the history, or would be refused as in conflict with itself.
+// The answer to the write is lost after it took effect. If the change were made again, it would
+// appear twice in the history or be refused because it conflicts with itself.
 TEST_F(SettingsStoreTest, ALostAnswerIsSettledByTheChangesId)
 {
     change(whole("c1"));
@@ -131,9 +131,9 @@
     EXPECT_EQ(head(), 2U);
 }
 
-// The client never heard the answer and repeats its change after others have changed the settings.
-// It must learn the version that it made then, and their changes must stand.
-TEST_F(SettingsStoreTest, ARepeatReturnsTheVersionItMadeHoweverMuchCameAfter)
+// The client has not received the answer and repeats its change after other operators have changed
+// the settings. It must get the version that it made then, and the other changes must remain.
+TEST_F(SettingsStoreTest, ARepeatReturnsTheVersionItMadeAfterLaterChanges)
 {
     change(whole("c1"));
     change(edit("c2", 1, "customers/kiyi/weight", "3"));
@@ -144,9 +144,10 @@
     EXPECT_EQ(head(), 3U);
 }
 
-// The table goes down at each step of a change in turn. Unavailable must mean that it is not in;
-// once a write has left, the truth is that it is not known, and the repeat finds out.
-TEST_F(SettingsStoreTest, WithTheTableDownAtAnyStepTheAnswerIsTrue)
+// The table goes down at each step of a change in turn. Unavailable must mean that the change did
+// not take effect. After a write was sent that is not known, the error must be OutcomeUnknown, and
+// a repeat finds out.
+TEST_F(SettingsStoreTest, WithTheTableDownAtAnyStepTheErrorIsCorrect)
 {
     change(whole("c1"));
     for (int step = 1; step <= 4; ++step) {
@@ -171,7 +172,7 @@
     }
 }
 
-TEST_F(SettingsStoreTest, AFaultyChangeNamesItsFaults)
+TEST_F(SettingsStoreTest, AnInvalidChangeIsRefusedWithItsFaults)
 {
     change(whole("c1"));
     const auto refused = change(edit("c2", 1, "customers/kiyi/weight", "-3"));
@@ -180,8 +181,8 @@
     EXPECT_FALSE(refused.error().faults.empty());
 }
 
-// Rolling back puts an old document against the head: a new version with a greater number, so that
-// no instance that has seen the bad one keeps it.
+// A rollback submits an old document as a change of the head. It must become a new version with a
+// greater number, so that an instance with the bad version replaces it.
 TEST_F(SettingsStoreTest, ARollbackIsANewVersion)
 {
     change(whole("c1"));
@@ -195,8 +196,8 @@
     EXPECT_EQ(result->hash, runTask(m_io, m_store.version(1))->hash);
 }
 
-// Old versions are removed, and only then a client repeats a change that made one of them. Its row
-// is gone with the version; made again, the change would undo what came after it.
+// A client repeats a change after the version that it made was removed. The change row is removed
+// with the version. If the change were made again, it would undo later changes.
 TEST_F(SettingsStoreTest, ARepeatOfARemovedChangeIsNotMadeAgain)
 {
     change(whole("c1"));
--- a/src/snipestall/peer/steward.cpp
+++ b/src/snipestall/peer/steward.cpp
@@ -37,10 +37,10 @@
     { }
 
     Task<void> run();
-    Task<void> round();
-    Task<void> giveBack();
+    Task<void> runRound();
+    Task<void> releaseLease();
     void logChange();
-    milliseconds nextPause();
+    milliseconds nextDelay();
 
     boost::asio::io_context &io;
     platform::TableService &table;
@@ -58,21 +58,21 @@
 {
     const auto self = shared_from_this();
     while (!stopping) {
-        co_await round();
+        co_await runRound();
         if (stopping)
             break;
         logChange();
-        timer.expires_after(nextPause());
+        timer.expires_after(nextDelay());
         co_await timer.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
     }
     running = false;
 }
 
-Task<void> Steward::State::round()
+Task<void> Steward::State::runRound()
 {
     std::vector<RowKey> keys { lease.rowKey() };
     const auto rows = co_await table.read(std::move(keys));
-    // With the table down nothing is renewed, and the lease ends by itself.
+    // While the table is down the lease is not renewed and expires.
     if (!rows || stopping)
         co_return;
     lease.observe(rows->empty() ? nullptr : &rows->front(), clock.steadyNow());
@@ -81,16 +81,16 @@
         co_return;
     const auto outcome = co_await table.transact(std::move(*transaction));
     if (!stopping)
-        lease.written(outcome);
+        lease.writeCompleted(outcome);
 }
 
-/// Up to a quarter earlier than asked: the instances of a data centre, started together, would
-/// otherwise all ask the table at the same moment for ever.
-milliseconds Steward::State::nextPause()
+/// The renewal interval, shortened at random by up to a quarter. Otherwise the instances of a data
+/// centre that were started together would always call the table at the same time.
+milliseconds Steward::State::nextDelay()
 {
     const auto quarter = static_cast<std::uint64_t>(options.renewEvery.count()) / 4;
-    const auto earlier = static_cast<std::int64_t>(random.below(quarter + 1));
-    return options.renewEvery - milliseconds(earlier);
+    const auto jitter = static_cast<std::int64_t>(random.below(quarter + 1));
+    return options.renewEvery - milliseconds(jitter);
 }
 
 void Steward::State::logChange()
@@ -104,12 +104,12 @@
         { { "data_centre", lease.rowKey().key }, { "fencing", std::to_string(lease.fencing()) } });
 }
 
-Task<void> Steward::State::giveBack()
+Task<void> Steward::State::releaseLease()
 {
     const auto self = shared_from_this();
     stopping = true;
     timer.cancel();
-    // The row's version after the last renewal is known only from a read.
+    // The version of the row after the last renewal is known only after a read.
     std::vector<RowKey> keys { lease.rowKey() };
     const auto rows = co_await table.read(std::move(keys));
     if (!rows || rows->empty())
@@ -118,7 +118,7 @@
     auto transaction = lease.release();
     if (!transaction)
         co_return;
-    // Whatever comes of it: the lease ends by itself if the row was not written.
+    // The result is ignored, because the lease expires anyway if the row was not written.
     co_await table.transact(std::move(*transaction));
 }
 
@@ -156,7 +156,7 @@
 Task<void> Steward::stop()
 {
     const auto state = m_state;
-    co_await state->giveBack();
+    co_await state->releaseLease();
 }
 
 std::optional<std::uint64_t> Steward::mayOrder() const
--- a/src/snipestall/peer/steward_lease.cpp
+++ b/src/snipestall/peer/steward_lease.cpp
@@ -37,8 +37,8 @@
         return steward;
     } catch (const std::exception &damaged) {
         return fail(ErrorKind::Internal,
-                    std::string("the steward's row can't be read: ") + damaged.what()
-                        + "; mend it by hand, its fencing number must not go down");
+                    std::string("can't decode the steward's row: ") + damaged.what()
+                        + "; repair it by hand; its fencing token must not decrease");
     }
 }
 
@@ -61,17 +61,19 @@
     m_row = {};
     if (row != nullptr) {
         const auto decoded = decodeSteward(*row);
-        // Without its fencing number the row can't be taken over: numbers would start again.
+        // A row without a readable fencing token can't be taken over, because the tokens would
+        // start again from 1.
         m_readable = decoded.has_value();
         m_row = decoded.value_or(StewardRow());
     }
-    const bool oursAfterAll = m_sent && m_row.token == m_sent->row.token;
-    if (oursAfterAll)
-        adopt(*m_sent);
-    // Whatever was sent before this read can only land if the row is still as it was then; the
-    // next write is made against the row as it is now, so at most one of the two takes effect.
+    const bool tookEffect = m_pendingWrite && m_row.token == m_pendingWrite->row.token;
+    if (tookEffect)
+        adopt(*m_pendingWrite);
+    // A write that was sent before this read can take effect only if the row is unchanged since.
+    // The next write is conditional on the row as it is now, so at most one of the two takes
+    // effect.
     if (m_row.token != m_token)
-        m_mine = false;
+        m_isHolder = false;
 }
 
 bool StewardLease::mayTake(SteadyTime now) const
@@ -85,12 +87,12 @@
 {
     if (!m_readable)
         return std::nullopt;
-    if (!m_mine && !mayTake(now))
+    if (!m_isHolder && !mayTake(now))
         return std::nullopt;
     StewardRow next;
     next.holder = m_instance;
     next.incarnation = m_incarnation;
-    next.fencing = m_mine ? m_fencing : m_row.fencing + 1;
+    next.fencing = m_isHolder ? m_fencing : m_row.fencing + 1;
     next.term = m_options.term;
     next.token = m_tokenPrefix + "." + std::to_string(++m_tokens);
     return send(std::move(next), now);
@@ -101,40 +103,40 @@
     Transaction transaction;
     transaction.conditions.push_back({ m_rowKey, m_rowVersion });
     transaction.writes.push_back({ m_rowKey, encodeSteward(row) });
-    m_sent = Sent { std::move(row), now };
+    m_pendingWrite = PendingWrite { std::move(row), now };
     return transaction;
 }
 
-void StewardLease::written(const Result<platform::TransactionOutcome> &outcome)
+void StewardLease::writeCompleted(const Result<platform::TransactionOutcome> &outcome)
 {
-    // A lost answer: the next observe() sees whether the row is this one.
+    // After a lost answer the next observe() finds out whether the write took effect.
     if (!outcome)
         return;
-    const Sent sent = *std::exchange(m_sent, std::nullopt);
+    const PendingWrite sent = *std::exchange(m_pendingWrite, std::nullopt);
     if (outcome->committed)
         adopt(sent);
     else
-        m_mine = false;
+        m_isHolder = false;
 }
 
-void StewardLease::adopt(const Sent &sent)
+void StewardLease::adopt(const PendingWrite &sent)
 {
-    const Sent taken = sent;
-    // The last holder's lease is over by now, but an order that it sent just before its end may
-    // still be on its way; the first order of this lease comes after it.
-    if (!m_mine || m_fencing != taken.row.fencing)
-        m_ordersFrom = taken.at + m_options.longestOrder;
-    m_mine = true;
+    const PendingWrite taken = sent;
+    // The previous holder's lease has ended, but an order that it sent just before may still be in
+    // transit. The first order of this lease must come after it.
+    if (!m_isHolder || m_fencing != taken.row.fencing)
+        m_ordersStart = taken.at + m_options.longestOrder;
+    m_isHolder = true;
     m_fencing = taken.row.fencing;
     m_token = taken.row.token;
-    m_leaseFrom = taken.at;
-    m_sent.reset();
+    m_leaseStart = taken.at;
+    m_pendingWrite.reset();
 }
 
 std::optional<Transaction> StewardLease::release()
 {
-    const bool wasMine = std::exchange(m_mine, false);
-    if (!wasMine || m_row.token != m_token)
+    const bool wasHolder = std::exchange(m_isHolder, false);
+    if (!wasHolder || m_row.token != m_token)
         return std::nullopt;
     StewardRow last = m_row;
     last.released = true;
@@ -147,17 +149,18 @@
 
 bool StewardLease::held(SteadyTime now) const
 {
-    return m_mine && now < m_leaseFrom + m_options.term;
+    return m_isHolder && now < m_leaseStart + m_options.term;
 }
 
-// A holder can be paused for any time between any two of its steps, and on waking would go on as if
-// nothing had happened. It asks this right before each order: the monotonic clock has gone on, so
-// a lease that ended meanwhile gives no number. What is left, a pause between this and the send, is
-// covered by the safety margin and by the fencing number in the order.
+// A holder's process can be suspended for any time between any two of its steps and resumes as if
+// nothing had happened. It therefore calls this immediately before each order: the monotonic clock
+// advances during the suspension, so a lease that ended meanwhile gives no token. A suspension
+// between this call and the send is covered by the safety margin and by the fencing token in the
+// order.
 std::optional<std::uint64_t> StewardLease::mayOrder(SteadyTime now) const
 {
-    const SteadyTime ordersUntil = m_leaseFrom + m_options.term - m_options.safetyMargin;
-    if (!m_mine || now < m_ordersFrom || now >= ordersUntil)
+    const SteadyTime ordersEnd = m_leaseStart + m_options.term - m_options.safetyMargin;
+    if (!m_isHolder || now < m_ordersStart || now >= ordersEnd)
         return std::nullopt;
     return m_fencing;
 }
--- a/src/snipestall/peer/steward_lease.hpp
+++ b/src/snipestall/peer/steward_lease.hpp
@@ -16,11 +16,12 @@
 {
     std::string holder;
     std::uint64_t incarnation = 0;
+    /// The fencing token.
     std::uint64_t fencing = 0;
     std::chrono::milliseconds term { 0 };
-    /// Names one write, so that a holder knows the row that it wrote itself.
+    /// Identifies one write, so that a holder recognizes a row that it has written itself.
     std::string token;
-    /// Given back before its end.
+    /// The holder released the lease before its end.
     bool released = false;
 };
 
@@ -28,12 +29,13 @@
 /// Internal if the row is damaged.
 Result<StewardRow> decodeSteward(const platform::Row &row);
 
-/// The rules of the lease, without I/O: each round the row is read and shown to observe(), then
-/// nextWrite() says what to write, if anything, and written() what came of it.
+/// The rules of the lease, without I/O. In each round the caller reads the row and passes it to
+/// observe(), sends the transaction of nextWrite(), if there is one, and passes its outcome to
+/// writeCompleted().
 ///
-/// No two clocks are compared. A holder counts from before it sent the write that the table took,
-/// so its lease ends no later than the row's write plus the term. A candidate counts from after it
-/// first read that write, so it begins no earlier than that.
+/// Clocks of two instances are never compared. A holder counts from before it sent the write that
+/// the table accepted, so its lease ends no later than the time of that write plus the term. A
+/// candidate counts from after it first read that write, so its lease begins no earlier than that.
 class StewardLease
 {
 public:
@@ -42,20 +44,24 @@
 
     [[nodiscard]] const platform::RowKey &rowKey() const { return m_rowKey; }
 
-    /// `row` is null if there is none.
+    /// Applies the row as read; `row` is null if there is none.
     void observe(const platform::Row *row, SteadyTime now);
+    /// The write that takes or renews the lease, or no value if another instance may hold it or the
+    /// row is damaged.
     std::optional<platform::Transaction> nextWrite(SteadyTime now);
-    void written(const Result<platform::TransactionOutcome> &outcome);
-    /// Ends the lease here at once; the write that tells the others, if it was held.
+    void writeCompleted(const Result<platform::TransactionOutcome> &outcome);
+    /// Ends the lease on this instance at once. Returns the write that makes the release visible to
+    /// the other instances, if the lease was held.
     std::optional<platform::Transaction> release();
 
     [[nodiscard]] bool held(SteadyTime now) const;
+    /// The fencing token if an order may be sent at `now`, otherwise no value.
     [[nodiscard]] std::optional<std::uint64_t> mayOrder(SteadyTime now) const;
     [[nodiscard]] std::uint64_t fencing() const { return m_fencing; }
 
 private:
-    /// A write whose fate is not settled yet.
-    struct Sent
+    /// A write whose outcome is not known yet.
+    struct PendingWrite
     {
         StewardRow row;
         SteadyTime at;
@@ -63,7 +69,7 @@
 
     [[nodiscard]] bool mayTake(SteadyTime now) const;
     platform::Transaction send(StewardRow row, SteadyTime now);
-    void adopt(const Sent &sent);
+    void adopt(const PendingWrite &sent);
 
     platform::RowKey m_rowKey;
     std::string m_instance;
@@ -72,19 +78,19 @@
     std::string m_tokenPrefix;
     std::uint64_t m_tokens = 0;
 
-    // The row as last read, and since when it has been seen unchanged.
+    // The row as last read, and the time since which it has been read unchanged.
     bool m_readable = false;
     std::uint64_t m_rowVersion = 0;
     StewardRow m_row;
     SteadyTime m_unchangedSince;
 
-    std::optional<Sent> m_sent;
-    // The lease, if the table has taken a write of ours.
-    bool m_mine = false;
+    std::optional<PendingWrite> m_pendingWrite;
+    // The lease, if the table has accepted a write of this instance.
+    bool m_isHolder = false;
     std::uint64_t m_fencing = 0;
     std::string m_token;
-    SteadyTime m_leaseFrom;
-    SteadyTime m_ordersFrom;
+    SteadyTime m_leaseStart;
+    SteadyTime m_ordersStart;
 };
 
 } // namespace snipestall::peer
--- a/src/snipestall/peer/steward_test.cpp
+++ b/src/snipestall/peer/steward_test.cpp
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 using namespace snipestall::platform;
 
-/// The rules alone, over a table that is called step by step.
+/// Tests the lease rules with a table that is called step by step.
 class StewardLeaseTest : public testing::Test
 {
 protected:
@@ -30,13 +30,13 @@
 
     void observe(StewardLease &lease) { lease.observe(row(), m_clock.steadyNow()); }
 
-    /// One whole round; false if there was nothing to write.
+    /// Runs one complete round. False if there was nothing to write.
     bool round(StewardLease &lease)
     {
         observe(lease);
         const auto transaction = lease.nextWrite(m_clock.steadyNow());
         if (transaction)
-            lease.written(m_table.apply(*transaction));
+            lease.writeCompleted(m_table.apply(*transaction));
         return transaction.has_value();
     }
 
@@ -51,7 +51,7 @@
     StewardOptions m_options;
 };
 
-TEST_F(StewardLeaseTest, OneOfTwoTakesItAndOrdersAfterTheLongestOrder)
+TEST_F(StewardLeaseTest, OnlyOneTakesTheLeaseAndOrdersAfterTheLongestOrder)
 {
     StewardLease one = lease("one");
     StewardLease two = lease("two");
@@ -63,10 +63,10 @@
     EXPECT_FALSE(mayOrder(two));
 }
 
-// The steward is paused for a minute between two orders. Another instance has taken the lease and
-// gives orders. Woken, the first would start a second replacement for the same lost instance; the
-// monotonic clock shows it that its lease is over.
-TEST_F(StewardLeaseTest, AHolderFrozenPastItsLeaseGivesNoOrder)
+// The steward is suspended past its lease between two orders, and another instance has taken the
+// lease and sends orders. When the first resumes, it must not start a second replacement for the
+// same lost instance. The monotonic clock shows that its lease has ended.
+TEST_F(StewardLeaseTest, AHolderSuspendedPastItsLeaseGivesNoOrder)
 {
     StewardLease frozen = lease("frozen");
     StewardLease next = lease("next");
@@ -79,15 +79,15 @@
     m_clock.advance(m_options.longestOrder);
     EXPECT_EQ(mayOrder(next), 2U);
     EXPECT_FALSE(mayOrder(frozen));
-    // Awake again it learns from the row that it has been succeeded, and its renewal is refused.
+    // After it has resumed, it reads the new holder from the row and does not renew the lease.
     round(frozen);
     EXPECT_FALSE(mayOrder(frozen));
     EXPECT_EQ(mayOrder(next), 2U);
 }
 
-// At no moment may two instances hold a number that lets them order: the old holder's last order
-// must be out of the network before the new holder's first. Time goes on in small steps while the
-// holder has silently died.
+// Two instances must never be allowed to order at the same time, and the old holder's last order
+// must have arrived before the new holder's first. The old holder stops renewing without a release,
+// and time advances in small steps.
 TEST_F(StewardLeaseTest, TheNewHoldersFirstOrderComesAfterTheOldOnesLast)
 {
     StewardLease old = lease("old");
@@ -107,9 +107,9 @@
     EXPECT_GE(firstNext - lastOld, m_options.safetyMargin + m_options.longestOrder);
 }
 
-// A renewal takes long to reach the table. Counting the lease from its answer instead of from
-// before it was sent would let the holder order while a candidate, counting from the row's write,
-// already does.
+// The answer to a renewal is delayed. If the lease counted from the answer and not from before the
+// renewal was sent, the holder could send orders while a candidate, which counts from the row's
+// write, already does.
 TEST_F(StewardLeaseTest, TheLeaseCountsFromBeforeTheRenewalWasSent)
 {
     StewardLease slow = lease("slow");
@@ -117,18 +117,18 @@
     const auto transaction = slow.nextWrite(m_clock.steadyNow());
     const auto outcome = m_table.apply(*transaction);
     m_clock.advance(m_options.term - m_options.safetyMargin);
-    slow.written(outcome);
+    slow.writeCompleted(outcome);
     EXPECT_FALSE(mayOrder(slow));
 }
 
-// The answer to the write that took the lease is lost. The holder must learn from the row that it
-// has it, counted from when that write was sent, and not take it a second time.
+// The answer to the write that took the lease is lost. The holder must see from the row that it has
+// the lease, count it from when that write was sent, and not take it a second time.
 TEST_F(StewardLeaseTest, ALostAnswerIsSettledByReadingTheRow)
 {
     StewardLease one = lease("one");
     observe(one);
     m_table.apply(*one.nextWrite(m_clock.steadyNow()));
-    one.written(fail(ErrorKind::OutcomeUnknown, "lost"));
+    one.writeCompleted(fail(ErrorKind::OutcomeUnknown, "lost"));
     EXPECT_FALSE(mayOrder(one));
     m_clock.advance(m_options.renewEvery);
     observe(one);
@@ -136,7 +136,7 @@
     EXPECT_FALSE(one.held(SteadyTime() + m_options.term));
 }
 
-TEST_F(StewardLeaseTest, TheFencingNumberGrowsWithEachHolderAndNotWithRenewals)
+TEST_F(StewardLeaseTest, TheFencingTokenIncreasesWithEachHolderAndNotWithRenewals)
 {
     StewardLease one = lease("one");
     for (int i = 0; i < 3; ++i) {
@@ -152,8 +152,8 @@
     EXPECT_EQ(two.fencing(), 2U);
 }
 
-// A hand-mended row is not readable. Taking it as absent would start the fencing numbers again at
-// 1, and engines that check them would refuse every order.
+// A row that was edited by hand can't be decoded. Treating it as absent would start the fencing
+// tokens again at 1, and engines that check them would refuse every order.
 TEST_F(StewardLeaseTest, ADamagedRowIsNeverTakenOver)
 {
     m_table.apply({ {}, { { { "stewards", "samsun-hall" }, "no json" } } });
@@ -163,7 +163,7 @@
     EXPECT_FALSE(round(one));
 }
 
-/// The loop around the rules.
+/// Tests the loop that applies the lease rules.
 class StewardTest : public testing::Test
 {
 protected:
@@ -191,9 +191,10 @@
     FakeTableService m_table { m_io };
 };
 
-// The platform goes down for longer than the lease. Nobody may order then; serving goes on. When it
-// is back the same holder goes on under its number, since nobody has come in between.
-TEST_F(StewardTest, WithTheTableDownThereIsNoStewardAndAfterwardsThereIs)
+// The platform is down for longer than the lease. No instance may order then. When the platform is
+// available again, the same holder continues with its fencing token, because no other instance has
+// taken the lease in between.
+TEST_F(StewardTest, AnOutageOfTheTableSuspendsTheSteward)
 {
     const auto one = steward("one");
     one->start();
@@ -210,7 +211,7 @@
     stop(*one);
 }
 
-TEST_F(StewardTest, AStoppedHolderOrdersNoMoreAndItsSuccessorNeedNotWaitForTheTerm)
+TEST_F(StewardTest, AStoppedHolderReleasesTheLeaseBeforeTheTermEnds)
 {
     const auto one = steward("one");
     one->start();
@@ -228,9 +229,9 @@
     stop(*two);
 }
 
-// The table answers a renewal only after a long while, in which the lease has run out. The late
-// yes must not bring the old lease back to life for longer than it counts from its sending.
-TEST_F(StewardTest, ASlowTableDoesNotStretchTheLease)
+// The table answers a renewal only after the lease has ended. The late answer must not extend the
+// lease beyond the term counted from when the renewal was sent.
+TEST_F(StewardTest, ASlowTableDoesNotExtendTheLease)
 {
     const auto one = steward("one");
     one->start();
--- a/src/snipestall/peer/table_maintenance.cpp
+++ b/src/snipestall/peer/table_maintenance.cpp
@@ -40,9 +40,9 @@
 {
     const auto self = shared_from_this();
     while (!stopped) {
-        timer.expires_after(options.every);
+        timer.expires_after(options.interval);
         co_await timer.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
-        // What fails is left to the next round: nothing waits for it.
+        // A failed removal is left to the next round, because nothing depends on it.
         if (!stopped && mayRun())
             co_await claims.removeExpired();
         if (!stopped && mayRun())
--- a/src/snipestall/peer/table_maintenance_test.cpp
+++ b/src/snipestall/peer/table_maintenance_test.cpp
@@ -14,9 +14,10 @@
 using namespace std::chrono_literals;
 using namespace snipestall::platform;
 
-// Every instance of a data centre runs the loop, but only the steward's may work: 32 instances
-// removing the same rows would spend the table's writes on conflicts with each other.
-TEST(TableMaintenanceTest, RemovesWhatExpiredAndOnlyWhereItMay)
+// Every instance of a data centre runs the loop, but only the steward's may remove rows. 32
+// instances that remove the same rows would use up the table's writes for conflicts with each
+// other.
+TEST(TableMaintenanceTest, RemovesExpiredRowsOnlyWhereAllowed)
 {
     boost::asio::io_context io;
     ManualClock clock;
@@ -30,7 +31,7 @@
     bool isSteward = false;
     int asked = 0;
     TableMaintenanceOptions options;
-    options.every = 1ms;
+    options.interval = 1ms;
     const auto mayRun = [&] {
         ++asked;
         return isSteward;
