--- a/apps/snipestallctl/command_test.cpp
+++ b/apps/snipestallctl/command_test.cpp
@@ -194,7 +194,7 @@
     applyExample();
     m_options.changeId = "my-change";
     m_server.onLoop([this] {
-        m_table.loseAnswers = 1;
+        m_table.answersToLose = 1;
         m_table.beforeAnswer = [this] { m_table.down = true; };
     });
     const Ended unknown = run({ "set", "fleet/weight", "2" });
--- a/apps/snipestallctl/commands_status.cpp
+++ b/apps/snipestallctl/commands_status.cpp
@@ -37,7 +37,7 @@
     for (const admin::PeerStatus &peer : status.peers)
         table.rows.push_back({ "peer of " + name, peer.name, peer.dataCentre, peer.state,
                                "settings " + std::to_string(peer.settingsVersion) + ", silent "
-                                   + inMilliseconds(peer.silentFor) });
+                                   + inMilliseconds(peer.sinceLastReport) });
     for (const admin::BackendServerStatus &server : status.backendServers)
         table.rows.push_back({ "backend server", server.name, status.dataCentre, server.state,
                                server.service + " on " + server.instanceClass + ", "
--- a/apps/snipestalld/main.cpp
+++ b/apps/snipestalld/main.cpp
@@ -70,7 +70,7 @@
     (*node)->requests().observe(
         snipestall::admin::RequestMetrics::create(*metrics, (*node)->settings()));
     const auto beforeMetrics = [&node, &metrics] {
-        metrics->setTotals(snipestall::admin::totalsOf(**node));
+        metrics->setTotals(snipestall::admin::collectTotals(**node));
     };
     const auto drain = [&node, &io] { (*node)->drain(std::nullopt, [&io] { io.stop(); }); };
     const LocalSettings &own = (*node)->local();
--- a/apps/snipestalld/node_status.cpp
+++ b/apps/snipestalld/node_status.cpp
@@ -28,7 +28,8 @@
     status.state = StateNames.at(static_cast<std::size_t>(member.state));
     status.settingsVersion = member.settingsVersion;
     if (member.state != peer::MemberState::Known)
-        status.silentFor = duration_cast<milliseconds>(steady_clock::now() - member.lastHeard);
+        status.sinceLastReport =
+            duration_cast<milliseconds>(steady_clock::now() - member.lastHeartbeat);
     return status;
 }
 
@@ -55,7 +56,7 @@
     status.instance = m_node.local().instance;
     status.dataCentre = m_node.local().dataCentre;
     status.incarnation = m_node.incarnation();
-    status.upFor = duration_cast<milliseconds>(steady_clock::now() - m_started);
+    status.uptime = duration_cast<milliseconds>(steady_clock::now() - m_started);
     status.draining = m_node.draining();
     status.platformReachable = m_node.platform().tableAvailable();
     status.isSteward = m_node.steward().mayOrder().has_value();
--- a/bench/platform_cost.cpp
+++ b/bench/platform_cost.cpp
@@ -76,7 +76,7 @@
     void measureSteward(int rounds)
     {
         peer::StewardOptions options;
-        options.renewEvery = 1ms;
+        options.renewInterval = 1ms;
         const auto steward =
             peer::Steward::create(m_io, *m_platform, m_clock, "bench-hall", "bench", 1, options);
         const Mark before = mark();
@@ -85,7 +85,7 @@
         platform::runUntil(m_io, [&] { return m_platform->counters().transactions >= until; });
         report("renewal of the lease", rounds, before);
         boost::asio::co_spawn(m_io, steward->stop(), boost::asio::detached);
-        platform::drain(m_io);
+        platform::runUntilIdle(m_io);
     }
 
 private:
@@ -98,7 +98,7 @@
             const std::string attempt = run + "." + std::to_string(first + i);
             boost::asio::co_spawn(m_io, claimAndStore(keeper, attempt), boost::asio::detached);
         }
-        platform::drain(m_io);
+        platform::runUntilIdle(m_io);
     }
 
     Task<void> claimAndStore(peer::ClaimKeeper &keeper, std::string attempt)
--- a/bench/settings_bench.cpp
+++ b/bench/settings_bench.cpp
@@ -51,7 +51,8 @@
 /// The form in which a version is stored and sent.
 void BM_ParseCanonical(benchmark::State &state)
 {
-    const std::string yaml = settings::Tree::parse(documentOf(state.range(0))).value().toYaml();
+    const std::string yaml =
+        settings::Tree::parse(documentOf(state.range(0))).value().toCanonicalYaml();
     for (auto _ : state)
         benchmark::DoNotOptimize(settings::Tree::parse(yaml));
     state.counters["bytes"] = static_cast<double>(yaml.size());
--- a/include/snipestall/admin/instance_status.hpp
+++ b/include/snipestall/admin/instance_status.hpp
@@ -16,7 +16,7 @@
     std::string state;
     std::uint64_t settingsVersion = 0;
     /// Time since the peer last reported; 0 if it has never reported.
-    std::chrono::milliseconds silentFor { 0 };
+    std::chrono::milliseconds sinceLastReport { 0 };
 };
 
 /// A backend server that this instance owns.
@@ -49,7 +49,7 @@
     std::string dataCentre;
     std::uint64_t incarnation = 0;
     /// Time since the process started.
-    std::chrono::milliseconds upFor { 0 };
+    std::chrono::milliseconds uptime { 0 };
     bool draining = false;
     bool platformReachable = true;
     /// Whether this instance is its data centre's steward, which orders starts and releases.
--- a/include/snipestall/admin/node_totals.hpp
+++ b/include/snipestall/admin/node_totals.hpp
@@ -9,6 +9,6 @@
 namespace snipestall::admin {
 
 /// Collects the counters that the components of an instance maintain, for Metrics::setTotals().
-InstanceTotals totalsOf(entry::Node &node);
+InstanceTotals collectTotals(entry::Node &node);
 
 } // namespace snipestall::admin
--- a/include/snipestall/admin/request_metrics.hpp
+++ b/include/snipestall/admin/request_metrics.hpp
@@ -24,8 +24,10 @@
                                                   const peer::SettingsKeeper &settings);
 
     void arrived(const entry::RequestSpec &spec) override;
-    void began(const entry::RequestSpec &spec, std::chrono::nanoseconds sinceArrival) override;
-    void wentOn(const entry::RequestSpec &spec, std::chrono::nanoseconds sinceLastPiece) override;
+    void firstPieceProduced(const entry::RequestSpec &spec,
+                            std::chrono::nanoseconds sinceArrival) override;
+    void nextPieceProduced(const entry::RequestSpec &spec,
+                           std::chrono::nanoseconds sinceLastPiece) override;
     void ended(const entry::RequestSpec &spec, const entry::FinalAnswer &answer) override;
 
 private:
--- a/include/snipestall/entry/dispatcher.hpp
+++ b/include/snipestall/entry/dispatcher.hpp
@@ -56,7 +56,7 @@
     /// Attempts on peers.
     std::uint64_t forwards = 0;
     /// Responses and stream events that were dropped because they belonged to another attempt.
-    std::uint64_t wrongAttempt = 0;
+    std::uint64_t mismatchedAnswers = 0;
     /// Tokens that an engine had to compute again to continue a request.
     std::uint64_t recomputedTokens = 0;
 };
--- a/include/snipestall/entry/request_observer.hpp
+++ b/include/snipestall/entry/request_observer.hpp
@@ -17,9 +17,11 @@
     virtual void arrived(const RequestSpec &spec) = 0;
     /// Called for the first piece of an answer; not called for a request that started on another
     /// instance.
-    virtual void began(const RequestSpec &spec, std::chrono::nanoseconds sinceArrival) = 0;
+    virtual void firstPieceProduced(const RequestSpec &spec,
+                                    std::chrono::nanoseconds sinceArrival) = 0;
     /// Called for each further piece of an answer.
-    virtual void wentOn(const RequestSpec &spec, std::chrono::nanoseconds sinceLastPiece) = 0;
+    virtual void nextPieceProduced(const RequestSpec &spec,
+                                   std::chrono::nanoseconds sinceLastPiece) = 0;
     virtual void ended(const RequestSpec &spec, const FinalAnswer &answer) = 0;
 };
 
--- a/include/snipestall/gateway/gateway_state.hpp
+++ b/include/snipestall/gateway/gateway_state.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "platform/memory_client.hpp"
+#include "platform/kv_cache_client.hpp"
 #include "snipestall/base/random.hpp"
 #include "snipestall/gateway/attempt_watch.hpp"
 #include "snipestall/gateway/backend_pool.hpp"
@@ -67,7 +67,7 @@
     serving::CrashWatch crashes;
     CommonTime commonTime;
     BackendPool backends;
-    platform::MemoryClient memory;
+    platform::KvCacheClient memory;
     GatewayCounters counters;
     GatewayMetrics metrics;
     serving::LoopLag loopLag;
--- a/include/snipestall/gateway/stream_move.hpp
+++ b/include/snipestall/gateway/stream_move.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "platform/memory_client.hpp"
+#include "platform/kv_cache_client.hpp"
 #include "snipestall/serving/server_table.hpp"
 
 #include <optional>
@@ -13,7 +13,7 @@
     serving::ServerStatePtr target;
     bool ended = false;
     /// Set when the run has stopped and its memory is at the target.
-    std::optional<platform::MovedRun> moved;
+    std::optional<platform::MovedStream> moved;
 };
 
 } // namespace snipestall::gateway
--- a/include/snipestall/peer/claim_keeper.hpp
+++ b/include/snipestall/peer/claim_keeper.hpp
@@ -109,7 +109,7 @@
     /// Releases a grant that was not used: no byte of the attempt has been sent and none ever will
     /// be. The row is marked as abandoned, retried in the background; the next claimer may have the
     /// key once the table has accepted the mark. Until then a repeat sees the key as held.
-    void giveBack(const ClaimKey &key, std::string attempt);
+    void releaseUnused(const ClaimKey &key, std::string attempt);
     /// The stored claim of a key, or no value if there is no row or its claim was abandoned.
     /// Unavailable if the table is down.
     wire::Task<Result<std::optional<ClaimOutcome>>> lookup(ClaimKey key);
--- a/include/snipestall/peer/member.hpp
+++ b/include/snipestall/peer/member.hpp
@@ -30,7 +30,7 @@
     std::string address;
     std::uint64_t incarnation = 0;
     MemberState state = MemberState::Known;
-    std::chrono::steady_clock::time_point lastHeard;
+    std::chrono::steady_clock::time_point lastHeartbeat;
     std::uint64_t settingsVersion = 0;
     std::vector<PoolLoad> pools;
 };
--- a/include/snipestall/peer/membership.hpp
+++ b/include/snipestall/peer/membership.hpp
@@ -39,7 +39,8 @@
 
     /// Adds a member or its address from the settings or the platform's list. This is only a hint:
     /// it never changes a member's state.
-    void learn(const std::string &name, const std::string &dataCentre, const std::string &address);
+    void addKnownMember(const std::string &name, const std::string &dataCentre,
+                        const std::string &address);
     /// Applies a heartbeat that was received at `now`. A heartbeat of a former incarnation is
     /// ignored.
     void heartbeatReceived(const Heartbeat &heartbeat, std::chrono::steady_clock::time_point now);
--- a/include/snipestall/peer/steward.hpp
+++ b/include/snipestall/peer/steward.hpp
@@ -28,8 +28,8 @@
     std::chrono::milliseconds safetyMargin { 3000 };
     /// Longest time that an order can take to arrive. A new holder waits this long before its first
     /// order.
-    std::chrono::milliseconds longestOrder { 2000 };
-    std::chrono::milliseconds renewEvery { 3000 };
+    std::chrono::milliseconds maxOrderDelay { 2000 };
+    std::chrono::milliseconds renewInterval { 3000 };
 };
 
 /// The lease for one data centre's orders. It is a row of the platform's table with a fencing token
--- a/include/snipestall/platform/cloud_api.hpp
+++ b/include/snipestall/platform/cloud_api.hpp
@@ -12,10 +12,10 @@
 struct StartOrder
 {
     /// Order id, chosen by the steward; the same id never starts a second instance.
-    std::string order;
+    std::string orderId;
     /// Fencing token of the steward's lease; the cloud refuses one below the greatest that it has
     /// received.
-    std::uint64_t fencing = 0;
+    std::uint64_t fencingToken = 0;
     std::string service;
     std::string dataCentre;
     std::string instanceClass;
--- a/include/snipestall/policy/event.hpp
+++ b/include/snipestall/policy/event.hpp
@@ -81,7 +81,7 @@
     /// The backend server or peer reported that it did not run the request; see `retryAfter`.
     Declined,
     /// The connection broke after bytes were sent; the backend server is still up.
-    Cut,
+    ConnectionLost,
     /// The connection broke because the backend server died.
     ServerDied,
     /// The backend server answered with a final failure.
--- a/include/snipestall/serving/demand_meter.hpp
+++ b/include/snipestall/serving/demand_meter.hpp
@@ -26,8 +26,7 @@
 public:
     /// An engine has read a prompt: its first token came after `took`, with no other prompt waiting
     /// ahead of it.
-    void promptRead(const std::string &service, double tokens,
-                       std::chrono::duration<double> took);
+    void promptRead(const std::string &service, double tokens, std::chrono::duration<double> took);
     /// A prompt of which `tokens` are not cached was sent to an engine.
     void promptSent(const std::string &service, double tokens);
     /// A request to a plain server with `slots` concurrent requests ended after `took`.
--- a/include/snipestall/serving/placement.hpp
+++ b/include/snipestall/serving/placement.hpp
@@ -73,10 +73,10 @@
     [[nodiscard]] std::vector<ServerStatePtr> candidates(const Demand &demand,
                                                          SteadyTime now) const;
     [[nodiscard]] ServerChoice chooseForPrompt(const Demand &demand,
-                                         const std::vector<ServerStatePtr> &servers,
-                                         SteadyTime now) const;
-    [[nodiscard]] ServerChoice chooseForCall(const Demand &demand,
-                                       const std::vector<ServerStatePtr> &servers, SteadyTime now);
+                                               const std::vector<ServerStatePtr> &servers,
+                                               SteadyTime now) const;
+    [[nodiscard]] ServerChoice
+    chooseForCall(const Demand &demand, const std::vector<ServerStatePtr> &servers, SteadyTime now);
     /// Cost between 0 and 1 that decides between servers with the same load.
     [[nodiscard]] double tieBreak(const Demand &demand, const ServerState &server);
     /// Prompt tokens that `server` has to read. `preferred`: id of the server that caches the
--- a/include/snipestall/serving/quota_keeper.hpp
+++ b/include/snipestall/serving/quota_keeper.hpp
@@ -109,7 +109,8 @@
     [[nodiscard]] const QuotaUse &ownUse() const { return m_ownUse; }
 
     /// Applies the totals that a peer reports, for itself or for all instances that it covers.
-    void updatePeerUse(const std::string &peer, QuotaPeer info, const QuotaUse &use, SteadyTime now);
+    void updatePeerUse(const std::string &peer, QuotaPeer info, const QuotaUse &use,
+                       SteadyTime now);
 
     /// Drops a peer whose use another peer also reports.
     void forgetPeer(const std::string &peer) { m_peers.erase(peer); }
--- a/include/snipestall/settings/tree.hpp
+++ b/include/snipestall/settings/tree.hpp
@@ -36,7 +36,7 @@
 
     /// Canonical YAML text: the same content gives the same bytes. It is not meant to be read by
     /// people; parse() reads it about forty times as fast as other YAML.
-    [[nodiscard]] std::string toYaml() const;
+    [[nodiscard]] std::string toCanonicalYaml() const;
     /// The same content as block-style YAML, for people and files.
     [[nodiscard]] std::string toReadableYaml() const;
     /// SHA-256 of the canonical text, in lower-case hex.
--- a/include/snipestall/settings/tree_edits.hpp
+++ b/include/snipestall/settings/tree_edits.hpp
@@ -24,6 +24,6 @@
 
 /// Whether two sets of changed paths overlap: a path of one equals, contains or is contained in a
 /// path of the other.
-bool touch(std::span<const Difference> a, std::span<const Edit> b);
+bool changesOverlap(std::span<const Difference> a, std::span<const Edit> b);
 
 } // namespace snipestall::settings
--- a/include/snipestall/wire/event_splitter.hpp
+++ b/include/snipestall/wire/event_splitter.hpp
@@ -24,7 +24,7 @@
     /// Adds bytes of the body and returns the events that they complete.
     std::vector<RawEvent> feed(std::string_view bytes);
     /// Bytes of the event that is not complete yet.
-    [[nodiscard]] const std::string &rest() const { return m_rest; }
+    [[nodiscard]] const std::string &incompleteEvent() const { return m_rest; }
 
 private:
     std::string m_rest;
--- a/src/snipestall/admin/admin_api_test.cpp
+++ b/src/snipestall/admin/admin_api_test.cpp
@@ -243,7 +243,7 @@
     apply(m_north, BootstrapKey, 0, First);
     peer::SettingsChange change { "lost", 1, "", "", { { "fleet/weight", "3" } }, {} };
     const std::string body = encodeChange(change);
-    m_table.loseAnswers = 1;
+    m_table.answersToLose = 1;
     m_table.beforeAnswer = [this] { m_table.down = true; };
     EXPECT_EQ(call(m_north, "POST", "/settings/changes", "key-of-ayla", body).status, 504);
     EXPECT_EQ(call(m_north, "POST", "/settings/changes", "key-of-ayla", body).status, 503);
--- a/src/snipestall/admin/admin_routes.cpp
+++ b/src/snipestall/admin/admin_routes.cpp
@@ -105,7 +105,7 @@
         paths.push_back({ difference.path, std::nullopt });
     std::vector<peer::AuditRecord> found;
     for (const peer::AuditRecord &record : records) {
-        if (record.toVersion > baseVersion && settings::touch(record.differences, paths))
+        if (record.toVersion > baseVersion && settings::changesOverlap(record.differences, paths))
             found.push_back(record);
     }
     return found;
--- a/src/snipestall/admin/audit_query.cpp
+++ b/src/snipestall/admin/audit_query.cpp
@@ -42,7 +42,7 @@
     if (query.path.empty())
         return true;
     const settings::Edit pathEdit { query.path, std::nullopt };
-    return settings::touch(record.differences, std::span(&pathEdit, 1));
+    return settings::changesOverlap(record.differences, std::span(&pathEdit, 1));
 }
 
 /// Adds the matching records of a page to `found`; returns false if no older page is needed.
--- a/src/snipestall/admin/node_totals.cpp
+++ b/src/snipestall/admin/node_totals.cpp
@@ -7,14 +7,14 @@
 
 namespace snipestall::admin {
 
-InstanceTotals totalsOf(entry::Node &node)
+InstanceTotals collectTotals(entry::Node &node)
 {
     const entry::DispatchCounters &dispatched = node.dispatcher().counters();
     const platform::PlatformCounters platform = node.platform().counters();
     InstanceTotals totals;
     totals.attempts = dispatched.attempts;
     totals.forwards = dispatched.forwards;
-    totals.answersDropped = dispatched.wrongAttempt;
+    totals.answersDropped = dispatched.mismatchedAnswers;
     totals.tokensRecomputed = dispatched.recomputedTokens;
     totals.platformTransactions = platform.transactions;
     totals.platformRowWrites = platform.rowWrites;
--- a/src/snipestall/admin/request_metrics.cpp
+++ b/src/snipestall/admin/request_metrics.cpp
@@ -62,14 +62,16 @@
     m_metrics.requestArrived(classOf(spec));
 }
 
-void RequestMetrics::began(const entry::RequestSpec &spec, std::chrono::nanoseconds sinceArrival)
+void RequestMetrics::firstPieceProduced(const entry::RequestSpec &spec,
+                                        std::chrono::nanoseconds sinceArrival)
 {
     const RequestClass requestClass = classOf(spec);
     m_metrics.observeFirstToken(requestClass, sinceArrival);
     m_metrics.addTokensGenerated(requestClass, 1);
 }
 
-void RequestMetrics::wentOn(const entry::RequestSpec &spec, std::chrono::nanoseconds sinceLastPiece)
+void RequestMetrics::nextPieceProduced(const entry::RequestSpec &spec,
+                                       std::chrono::nanoseconds sinceLastPiece)
 {
     const RequestClass requestClass = classOf(spec);
     m_metrics.observeInterToken(requestClass, sinceLastPiece);
--- a/src/snipestall/admin/status_message.cpp
+++ b/src/snipestall/admin/status_message.cpp
@@ -15,7 +15,7 @@
              { "data_centre", peer.dataCentre },
              { "state", peer.state },
              { "settings_version", peer.settingsVersion },
-             { "silent_ms", peer.silentFor.count() } };
+             { "silent_ms", peer.sinceLastReport.count() } };
 }
 
 PeerStatus readPeer(const object &from)
@@ -67,7 +67,7 @@
     status.instance = textAt(from, "instance");
     status.dataCentre = textAt(from, "data_centre");
     status.incarnation = numberAt(from, "incarnation");
-    status.upFor = millisecondsAt(from, "up_ms");
+    status.uptime = millisecondsAt(from, "up_ms");
     status.draining = flagAt(from, "draining");
     status.platformReachable = flagAt(from, "platform_reachable");
     status.isSteward = flagAt(from, "steward");
@@ -85,7 +85,7 @@
     const object body { { "instance", status.instance },
                         { "data_centre", status.dataCentre },
                         { "incarnation", status.incarnation },
-                        { "up_ms", status.upFor.count() },
+                        { "up_ms", status.uptime.count() },
                         { "draining", status.draining },
                         { "platform_reachable", status.platformReachable },
                         { "steward", status.isSteward },
--- a/src/snipestall/entry/attempt_claim.cpp
+++ b/src/snipestall/entry/attempt_claim.cpp
@@ -130,7 +130,7 @@
         return;
     const RequestSpec &spec = request.spec();
     const std::string attempt = std::exchange(request.claimedBy, {});
-    m_deps.claims->giveBack({ spec.customer, spec.service, spec.idempotencyKey }, attempt);
+    m_deps.claims->releaseUnused({ spec.customer, spec.service, spec.idempotencyKey }, attempt);
 }
 
 /// Stores the outcome "unknown" for a claimed request whose answer was cut off, so that repeats get
--- a/src/snipestall/entry/attempt_on_peer.cpp
+++ b/src/snipestall/entry/attempt_on_peer.cpp
@@ -90,7 +90,7 @@
         --request->unconfirmedForwards;
         request->markSent();
     }
-    ended(attempt, policy::AttemptResult::Cut);
+    ended(attempt, policy::AttemptResult::ConnectionLost);
 }
 
 // The crashes are recorded from the answer itself. An owner that lost two servers to a request also
@@ -116,7 +116,7 @@
             co_return;
         const ForwardEvent &event = **next;
         if (event.attempt() != attempt.id) {
-            ++m_counters.wrongAttempt;
+            ++m_counters.mismatchedAnswers;
             co_return;
         }
         FinalAnswer answer = answerOf(event);
@@ -156,7 +156,7 @@
                 request->crashedServers().insert(event.server());
             co_return ended(attempt,
                             event.server_died() ? policy::AttemptResult::ServerDied
-                                                : policy::AttemptResult::Cut);
+                                                : policy::AttemptResult::ConnectionLost);
         default:
             break;
         }
--- a/src/snipestall/entry/attempt_on_server.cpp
+++ b/src/snipestall/entry/attempt_on_server.cpp
@@ -180,8 +180,8 @@
     // The response to an abandoned attempt may still arrive on its connection. A response that
     // belongs to another request or attempt is dropped together with the connection.
     if (head.fields.find("Snipestall-Attempt").value_or("") != attempt.id) {
-        ++m_counters.wrongAttempt;
-        co_return ended(attempt, policy::AttemptResult::Cut);
+        ++m_counters.mismatchedAnswers;
+        co_return ended(attempt, policy::AttemptResult::ConnectionLost);
     }
     wire::HttpStream *raw = stream->get();
     request->cancelCallbacks()[attempt.handle.value] = [&attempt, raw] {
@@ -203,10 +203,10 @@
             co_return;
         }
         if (!bytes->has_value())
-            co_return ended(attempt, policy::AttemptResult::Cut);
+            co_return ended(attempt, policy::AttemptResult::ConnectionLost);
         for (const wire::StreamEvent &event : parser.feed(**bytes)) {
             if (attempt.over || !handleTokenEvent(attempt, event.data))
-                co_return ended(attempt, policy::AttemptResult::Cut);
+                co_return ended(attempt, policy::AttemptResult::ConnectionLost);
         }
     }
     // The end of the body follows the end event; after it is read, the connection can be reused.
@@ -223,7 +223,7 @@
     const json::object &token = value.get_object();
     const json::value *id = token.if_contains("attempt");
     if (id == nullptr || !id->is_string() || id->get_string() != attempt.id) {
-        ++m_counters.wrongAttempt;
+        ++m_counters.mismatchedAnswers;
         return false;
     }
     const RequestPtr request = attempt.request;
@@ -259,8 +259,8 @@
     const std::string echoedAttempt =
         response->fields.find("Snipestall-Attempt").value_or(attempt.id);
     if (echoedAttempt != attempt.id) {
-        ++m_counters.wrongAttempt;
-        co_return ended(attempt, policy::AttemptResult::Cut);
+        ++m_counters.mismatchedAnswers;
+        co_return ended(attempt, policy::AttemptResult::ConnectionLost);
     }
     // For a call that may run only once, a 503 does not prove that it was not run. It is passed on
     // as the answer.
@@ -315,7 +315,8 @@
     const bool crashed = died && (server == nullptr || !server->leaving);
     if (crashed)
         recordCrash(attempt);
-    ended(attempt, crashed ? policy::AttemptResult::ServerDied : policy::AttemptResult::Cut);
+    ended(attempt,
+          crashed ? policy::AttemptResult::ServerDied : policy::AttemptResult::ConnectionLost);
 }
 
 void Dispatcher::recordCrash(const Attempt &attempt)
--- a/src/snipestall/entry/backend_directory.cpp
+++ b/src/snipestall/entry/backend_directory.cpp
@@ -102,7 +102,7 @@
         if (backend)
             applyListedBackend(listed);
         else if (!self)
-            m_members.learn(listed.name, listed.dataCentre, listed.address);
+            m_members.addKnownMember(listed.name, listed.dataCentre, listed.address);
         else if (listed.leaving && m_onSelfLeaving)
             m_onSelfLeaving(listed.noticeLeft.value_or(milliseconds(0)));
     }
--- a/src/snipestall/entry/node.cpp
+++ b/src/snipestall/entry/node.cpp
@@ -140,7 +140,7 @@
             beginDrain(notice, [] {});
     });
     for (const Seed &seed : local.seeds)
-        members.learn(seed.instance, seed.dataCentre, seed.address.toString());
+        members.addKnownMember(seed.instance, seed.dataCentre, seed.address.toString());
 }
 
 void Node::State::start()
--- a/src/snipestall/entry/request.cpp
+++ b/src/snipestall/entry/request.cpp
@@ -129,9 +129,9 @@
     if (m_observer && m_lastProgress) {
         const auto delay = now - *m_lastProgress;
         if (m_pieces.size() == 1)
-            m_observer->began(m_spec, delay);
+            m_observer->firstPieceProduced(m_spec, delay);
         else
-            m_observer->wentOn(m_spec, delay);
+            m_observer->nextPieceProduced(m_spec, delay);
     }
     m_lastProgress = now;
 }
--- a/src/snipestall/gateway/backend_call.cpp
+++ b/src/snipestall/gateway/backend_call.cpp
@@ -124,7 +124,7 @@
         if (m_parser->get().result_int() < FirstFinalStatus)
             continue;
         const auto answer =
-            platform::readServerAnswer(m_parser->get().result_int(), m_parser->get());
+            platform::readServerResponse(m_parser->get().result_int(), m_parser->get());
         if (answer.attemptId == m_attemptId)
             co_return beast::error_code();
         // An answer without an attempt id can't be distinguished from the answer to another
@@ -209,7 +209,7 @@
         bytes.resize(got);
         co_return BodyRead { BodyRead::Kind::Bytes, std::move(bytes) };
     }
-    const auto answer = platform::readServerAnswer(m_parser->get().result_int(), m_parser->get());
+    const auto answer = platform::readServerResponse(m_parser->get().result_int(), m_parser->get());
     if (answer.attemptId == m_attemptId)
         keepConnection();
     co_return BodyRead { BodyRead::Kind::End, {} };
--- a/src/snipestall/gateway/duty_runner_usage.cpp
+++ b/src/snipestall/gateway/duty_runner_usage.cpp
@@ -254,7 +254,8 @@
         for (const auto &[process, counts] : members)
             m_state.usageLedger.addCounts(window, process, counts);
         if (members.empty())
-            m_state.usageLedger.addCounts(window, row.name.key, decodeNumbers<std::uint64_t>(row.value));
+            m_state.usageLedger.addCounts(window, row.name.key,
+                                          decodeNumbers<std::uint64_t>(row.value));
     }
     m_state.usageLedger.addCounts(window, m_state.processName(), m_state.usage.counts(window));
     co_return m_state.usageLedger.total(window);
--- a/src/snipestall/gateway/load_exchange.cpp
+++ b/src/snipestall/gateway/load_exchange.cpp
@@ -252,7 +252,8 @@
         for (const auto &[customer, count] : counts)
             (*usage->mutable_customers())[customer] = count;
     }
-    for (const serving::CrashReport &crash : m_state.crashes.recentReports(m_state.clock.steadyNow())) {
+    for (const serving::CrashReport &crash :
+         m_state.crashes.recentReports(m_state.clock.steadyNow())) {
         v1::Crash *entry = report.add_crashes();
         entry->set_fingerprint(crash.fingerprint);
         entry->set_server(crash.server);
--- a/src/snipestall/gateway/request_relay.cpp
+++ b/src/snipestall/gateway/request_relay.cpp
@@ -74,7 +74,7 @@
     CallerConnection::Answer answer;
     answer.result(status);
     answer.version(m_caller->request().version());
-    platform::markOwnAnswer(m_header.attemptId, answer);
+    platform::setAttemptId(m_header.attemptId, answer);
     answer.prepare_payload();
     return answer;
 }
@@ -274,7 +274,7 @@
         call.priority = std::clamp(priority, 0, LowestPriority);
     }
     call.resumeAfter = m_lastEvent;
-    call.memoryFrom = m_memoryFrom;
+    call.kvCacheSource = m_memoryFrom;
     platform::writeServerHeader(from, call, request);
     request.body() = from.body();
     request.prepare_payload();
@@ -352,7 +352,7 @@
 Task<RequestRelay::AttemptEnd> RequestRelay::handleAnswer(const serving::ServerStatePtr &server)
 {
     const unsigned status = m_call->head().result_int();
-    const auto parsed = platform::readServerAnswer(status, m_call->head());
+    const auto parsed = platform::readServerResponse(status, m_call->head());
     if (parsed.wrongServer)
         serving::ServerTable::markReplaced(*server);
     if (parsed.notRun) {
@@ -366,7 +366,7 @@
     ++m_runs;
     if (!m_answer.canContinueWith(m_call->head()))
         co_return co_await dropAnswer(*server);
-    if (status < FirstNonSuccessStatus && m_route->isStream() && parsed.mayBeEvents)
+    if (status < FirstNonSuccessStatus && m_route->isStream() && parsed.mayBeEventStream)
         co_return co_await relayStream(server);
     co_return co_await relayWhole(server);
 }
@@ -385,7 +385,8 @@
     if (m_usageCounted || m_customer == nullptr || !m_state.commonTime.known())
         return;
     m_usageCounted = true;
-    m_state.usage.requestStarted(m_customer->name, m_state.commonTime.at(m_state.clock.steadyNow()));
+    m_state.usage.requestStarted(m_customer->name,
+                                 m_state.commonTime.at(m_state.clock.steadyNow()));
 }
 
 void RequestRelay::watchForStall(const serving::ServerStatePtr &server)
@@ -411,7 +412,7 @@
     if (m_unreadTokens <= 0 || m_tokensAhead > 0)
         return;
     m_state.demand.promptRead(m_demand.service->name, m_unreadTokens,
-                                 m_state.clock.steadyNow() - m_sentAt);
+                              m_state.clock.steadyNow() - m_sentAt);
 }
 
 void RequestRelay::recordLatency()
--- a/src/snipestall/gateway/request_relay_admission.cpp
+++ b/src/snipestall/gateway/request_relay_admission.cpp
@@ -101,7 +101,7 @@
     m_route = m_catalogue->route(hostOf(request), pathOf(request));
     if (m_route == nullptr)
         co_return co_await refuse(ownAnswer(404), "no-route");
-    m_customer = m_catalogue->customerOfKey(m_header.key);
+    m_customer = m_catalogue->customerOfKey(m_header.apiKey);
     if (m_customer == nullptr && m_catalogue->hasCustomers() && !m_route->anonymous)
         co_return co_await refuse(ownAnswer(401), "unknown-key");
     // The request has been waiting in this process for about as long as other events have.
--- a/src/snipestall/gateway/request_relay_answer.cpp
+++ b/src/snipestall/gateway/request_relay_answer.cpp
@@ -66,7 +66,7 @@
     whole.result(status);
     whole.version(m_caller->request().version());
     whole.reason(m_call->head().reason());
-    platform::copyAnswerHeader(m_call->head(), whole);
+    platform::copyResponseHeader(m_call->head(), whole);
     while (true) {
         BodyRead piece = co_await m_call->readBody(m_deadline);
         if (piece.kind == BodyRead::Kind::Bytes) {
@@ -111,7 +111,7 @@
     head.version(11);
     head.result(m_call->head().result_int());
     head.reason(m_call->head().reason());
-    platform::copyAnswerHeader(m_call->head(), head);
+    platform::copyResponseHeader(m_call->head(), head);
     if (m_state.draining()) {
         m_keepAlive = false;
         head.set(http::field::connection, "close");
@@ -156,7 +156,7 @@
         }
         if (co_await awaitMove())
             co_return AttemptEnd::Moved;
-        if (piece.kind == BodyRead::Kind::End && splitter.rest().empty())
+        if (piece.kind == BodyRead::Kind::End && splitter.incompleteEvent().empty())
             break;
         co_return handleIncompleteAnswer(piece, server);
     }
--- a/src/snipestall/gateway/request_relay_move.cpp
+++ b/src/snipestall/gateway/request_relay_move.cpp
@@ -86,7 +86,7 @@
 serving::ServerChoice RequestRelay::finishMove()
 {
     const auto move = std::exchange(m_move, nullptr);
-    m_memoryFrom = move->moved->memoryFrom;
+    m_memoryFrom = move->moved->kvCacheSource;
     serving::ServerChoice placed;
     placed.server = move->target;
     return placed;
--- a/src/snipestall/peer/claim_faults_test.cpp
+++ b/src/snipestall/peer/claim_faults_test.cpp
@@ -62,12 +62,12 @@
     void recover()
     {
         m_table.down = false;
-        m_table.loseAnswers = 0;
-        m_table.loseRequests = 0;
-        m_table.holdRequests = 0;
-        m_table.thaw();
-        drain(m_io);
-        m_table.deliverLate();
+        m_table.answersToLose = 0;
+        m_table.requestsToLose = 0;
+        m_table.requestsToHold = 0;
+        m_table.resumeAnswers();
+        runUntilIdle(m_io);
+        m_table.applyHeldRequests();
     }
 
     void check()
@@ -99,7 +99,7 @@
     {
         std::uint64_t key = 0;
         std::string attempt;
-        Slot<ClaimOutcome> outcome;
+        TaskResult<ClaimOutcome> outcome;
     };
 
     static ClaimKey keyOf(std::uint64_t key) { return { "kiyi", "ledger", std::to_string(key) }; }
@@ -126,18 +126,18 @@
         EXPECT_FALSE(late && outcome.verdict == ClaimVerdict::Granted);
         co_return outcome;
     }
-    void loseAnswer() { ++m_table.loseAnswers; }
-    void loseRequest() { ++m_table.loseRequests; }
-    void delayRequest() { ++m_table.holdRequests; }
-    void deliverLate() { m_table.deliverLate(); }
+    void loseAnswer() { ++m_table.answersToLose; }
+    void loseRequest() { ++m_table.requestsToLose; }
+    void delayRequest() { ++m_table.requestsToHold; }
+    void deliverLate() { m_table.applyHeldRequests(); }
     void toggleOutage() { m_table.down = !m_table.down; }
     void toggleFreeze()
     {
         m_frozen = !m_frozen;
         if (m_frozen)
-            m_table.freeze();
+            m_table.pauseAnswers();
         else
-            m_table.thaw();
+            m_table.resumeAnswers();
     }
     void advanceClock() { m_clock.advance(std::chrono::minutes(m_random.below(10))); }
 
--- a/src/snipestall/peer/claim_keeper.cpp
+++ b/src/snipestall/peer/claim_keeper.cpp
@@ -244,7 +244,7 @@
     m_state->updates->add(std::move(update));
 }
 
-void ClaimKeeper::giveBack(const ClaimKey &key, std::string attempt)
+void ClaimKeeper::releaseUnused(const ClaimKey &key, std::string attempt)
 {
     ClaimUpdate update;
     update.kind = ClaimUpdate::Kind::ReleaseUnused;
--- a/src/snipestall/peer/claim_keeper_test.cpp
+++ b/src/snipestall/peer/claim_keeper_test.cpp
@@ -37,7 +37,7 @@
         return { keyOf(key), "request-of-" + attempt, attempt, "body", m_clock.steadyNow() + left };
     }
 
-    Slot<ClaimOutcome> start(ClaimKeeper &keeper, ClaimRequest asked)
+    TaskResult<ClaimOutcome> start(ClaimKeeper &keeper, ClaimRequest asked)
     {
         return startTask(m_io, keeper.claim(std::move(asked)));
     }
@@ -55,7 +55,7 @@
     void removeExpired(ClaimKeeper &keeper)
     {
         boost::asio::co_spawn(m_io, keeper.removeExpired(), boost::asio::detached);
-        drain(m_io);
+        runUntilIdle(m_io);
     }
 
     ClaimRow rowOf(const std::string &key)
@@ -81,7 +81,7 @@
 
     const std::string bytes("\xff\x00receipt", 9);
     first->storeOutcome(keyOf("k"), "a1", { 200, "text/plain", bytes, "completed" });
-    drain(m_io);
+    runUntilIdle(m_io);
     const auto known = lookup(*second, "k");
     ASSERT_TRUE(known.has_value() && known->outcome.has_value());
     EXPECT_EQ(known->outcome->body, bytes);
@@ -95,7 +95,7 @@
 TEST_F(ClaimKeeperTest, ALostAnswerIsSettledByReadingTheRow)
 {
     const auto first = keeper("samsun-1");
-    m_table.loseAnswers = 1;
+    m_table.answersToLose = 1;
     EXPECT_EQ(claim(*first, request("k", "a1")).verdict, ClaimVerdict::Granted);
     EXPECT_EQ(first->counters().settledByReading, 1U);
     EXPECT_EQ(first->counters().transactions, 1U);
@@ -107,7 +107,7 @@
 TEST_F(ClaimKeeperTest, AClaimLostBeforeTheWriteIsWrittenAgain)
 {
     const auto first = keeper("samsun-1");
-    m_table.loseRequests = 1;
+    m_table.requestsToLose = 1;
     EXPECT_EQ(claim(*first, request("k", "a1")).verdict, ClaimVerdict::Granted);
     EXPECT_EQ(first->counters().transactions, 2U);
 }
@@ -120,7 +120,7 @@
     const auto sinop = keeper("sinop-1");
     const auto one = start(*samsun, request("k", "a1"));
     const auto two = start(*sinop, request("k", "a2"));
-    drain(m_io);
+    runUntilIdle(m_io);
     EXPECT_EQ((*one)->verdict, ClaimVerdict::Granted);
     EXPECT_EQ((*two)->verdict, ClaimVerdict::Held);
     EXPECT_EQ((*two)->holderAttempt, "a1");
@@ -134,7 +134,7 @@
     const auto samsun = keeper("samsun-1");
     const auto one = start(*samsun, request("k", "a1"));
     const auto two = start(*samsun, request("k", "a2"));
-    drain(m_io);
+    runUntilIdle(m_io);
     EXPECT_EQ((*one)->verdict, ClaimVerdict::Granted);
     EXPECT_EQ((*two)->verdict, ClaimVerdict::Held);
     EXPECT_EQ(samsun->counters().transactions, 1U);
@@ -147,12 +147,12 @@
 TEST_F(ClaimKeeperTest, AClaimerSuspendedPastItsDeadlineIsNotGranted)
 {
     const auto frozen = keeper("samsun-1");
-    m_table.freeze();
+    m_table.pauseAnswers();
     const auto outcome = start(*frozen, request("k", "a1", 1s));
     runUntil(m_io, [&] { return m_table.transactions == 1; });
     m_clock.advance(5s);
-    m_table.thaw();
-    drain(m_io);
+    m_table.resumeAnswers();
+    runUntilIdle(m_io);
     EXPECT_EQ((*outcome)->verdict, ClaimVerdict::Unsettled);
     EXPECT_EQ(rowOf("k").state, ClaimState::Abandoned);
     EXPECT_EQ(frozen->counters().abandoned, 1U);
@@ -165,12 +165,12 @@
 TEST_F(ClaimKeeperTest, AGrantAfterTheCallerWasRefusedIsAbandoned)
 {
     const auto samsun = keeper("samsun-1");
-    m_table.freeze();
+    m_table.pauseAnswers();
     const auto outcome = start(*samsun, request("k", "a1", 3ms));
     runUntil(m_io, [&] { return outcome->has_value(); });
     EXPECT_EQ((*outcome)->verdict, ClaimVerdict::Unsettled);
-    m_table.thaw();
-    drain(m_io);
+    m_table.resumeAnswers();
+    runUntilIdle(m_io);
     EXPECT_EQ(rowOf("k").state, ClaimState::Abandoned);
 }
 
@@ -180,14 +180,14 @@
 TEST_F(ClaimKeeperTest, ALateWriteOfAnAbandonedClaimHasNoEffect)
 {
     const auto slow = keeper("samsun-1");
-    m_table.holdRequests = 1;
+    m_table.requestsToHold = 1;
     m_table.beforeCall = [this] {
         if (m_table.reads == 1)
             m_clock.advance(2s);
     };
     const auto outcome = start(*slow, request("k", "a1", 1s));
-    drain(m_io);
-    m_table.deliverLate();
+    runUntilIdle(m_io);
+    m_table.applyHeldRequests();
     EXPECT_EQ((*outcome)->verdict, ClaimVerdict::Unsettled);
     EXPECT_EQ(rowOf("k").state, ClaimState::Abandoned);
     EXPECT_EQ(claim(*keeper("sinop-1"), request("k", "a2")).verdict, ClaimVerdict::Granted);
@@ -214,8 +214,8 @@
         const std::string key = "k" + std::to_string(step);
         const auto samsun = keeper("samsun-1");
         int calls = 0;
-        m_table.loseAnswers = step < 3 ? 1 : 0;
-        m_table.loseRequests = step < 3 ? 0 : 1;
+        m_table.answersToLose = step < 3 ? 1 : 0;
+        m_table.requestsToLose = step < 3 ? 0 : 1;
         m_table.beforeCall = [&] {
             if (++calls != step)
                 return;
@@ -227,8 +227,8 @@
         EXPECT_EQ((*outcome)->verdict, ClaimVerdict::Unsettled) << step;
         m_table.beforeCall = {};
         m_table.down = false;
-        m_table.loseAnswers = 0;
-        drain(m_io);
+        m_table.answersToLose = 0;
+        runUntilIdle(m_io);
         EXPECT_EQ(claim(*keeper("sinop-1"), request(key, "a2")).verdict, ClaimVerdict::Granted);
     }
 }
@@ -253,7 +253,7 @@
     const auto outcome = start(*samsun, request("k", "a1", 20s));
     runUntil(m_io, [&] { return m_table.transactions == 60; });
     m_table.down = false;
-    drain(m_io);
+    runUntilIdle(m_io);
     EXPECT_EQ((*outcome)->verdict, ClaimVerdict::Granted);
     EXPECT_EQ(claim(*samsun, request("k2", "a1", 20s)).verdict, ClaimVerdict::Granted);
 }
@@ -264,11 +264,11 @@
 {
     claim(*keeper("sinop-1"), request("k2", "other"));
     const auto samsun = keeper("samsun-1");
-    std::vector<Slot<ClaimOutcome>> outcomes;
+    std::vector<TaskResult<ClaimOutcome>> outcomes;
     outcomes.reserve(3);
     for (const std::string key : { "k1", "k2", "k3" })
         outcomes.push_back(start(*samsun, request(key, "mine-" + key)));
-    drain(m_io);
+    runUntilIdle(m_io);
     EXPECT_EQ((*outcomes[0])->verdict, ClaimVerdict::Granted);
     EXPECT_EQ((*outcomes[1])->verdict, ClaimVerdict::Held);
     EXPECT_EQ((*outcomes[1])->holderAttempt, "other");
@@ -279,11 +279,11 @@
 TEST_F(ClaimKeeperTest, ManyClaimsTakeOneTransactionAndOneRowMoreThanClaims)
 {
     const auto samsun = keeper("samsun-1");
-    std::vector<Slot<ClaimOutcome>> outcomes;
+    std::vector<TaskResult<ClaimOutcome>> outcomes;
     outcomes.reserve(50);
     for (int i = 0; i < 50; ++i)
         outcomes.push_back(start(*samsun, request("k" + std::to_string(i), "a")));
-    drain(m_io);
+    runUntilIdle(m_io);
     EXPECT_EQ(samsun->counters().granted, 50U);
     EXPECT_EQ(samsun->counters().transactions, 1U);
     EXPECT_EQ(samsun->counters().rowWrites, 51U);
@@ -300,8 +300,8 @@
     runUntil(m_io, [&] { return m_table.reads == 5; });
     EXPECT_EQ(samsun->counters().outcomesPending, 1U);
     m_table.down = false;
-    m_table.loseAnswers = 1;
-    drain(m_io);
+    m_table.answersToLose = 1;
+    runUntilIdle(m_io);
     EXPECT_EQ(samsun->counters().outcomesPending, 0U);
     EXPECT_EQ(lookup(*samsun, "k")->outcome->body, "receipt");
 }
@@ -312,11 +312,11 @@
 {
     const auto samsun = keeper("samsun-1");
     claim(*samsun, request("k", "a1"));
-    samsun->giveBack(keyOf("k"), "a2");
-    drain(m_io);
+    samsun->releaseUnused(keyOf("k"), "a2");
+    runUntilIdle(m_io);
     EXPECT_EQ(claim(*samsun, request("k", "a2")).verdict, ClaimVerdict::Held);
-    samsun->giveBack(keyOf("k"), "a1");
-    drain(m_io);
+    samsun->releaseUnused(keyOf("k"), "a1");
+    runUntilIdle(m_io);
     EXPECT_EQ(claim(*keeper("sinop-1"), request("k", "a3")).verdict, ClaimVerdict::Granted);
 }
 
@@ -325,7 +325,7 @@
     const auto samsun = keeper("samsun-1");
     claim(*samsun, request("k", "a1"));
     samsun->storeOutcome(keyOf("k"), "a2", { 200, "text/plain", "stranger", "completed" });
-    drain(m_io);
+    runUntilIdle(m_io);
     EXPECT_FALSE(lookup(*samsun, "k")->outcome.has_value());
 }
 
@@ -335,7 +335,7 @@
     claim(*samsun, request("k", "a1"));
     const std::string body(MaxStoredBody + 1, 'x');
     samsun->storeOutcome(keyOf("k"), "a1", { 200, "text/plain", body, "completed" });
-    drain(m_io);
+    runUntilIdle(m_io);
     const auto known = lookup(*samsun, "k");
     EXPECT_TRUE(known->outcome->bodyDropped);
     EXPECT_EQ(known->outcome->status, 200);
@@ -378,17 +378,17 @@
 TEST_F(ClaimKeeperTest, ExpiryLeavesARowThatALaterHourTookOver)
 {
     const auto samsun = keeper("samsun-1");
-    m_table.freeze();
+    m_table.pauseAnswers();
     const auto outcome = start(*samsun, request("k", "a1", 1s));
     runUntil(m_io, [&] { return m_table.transactions == 1; });
     m_clock.advance(2s);
-    m_table.thaw();
-    drain(m_io);
+    m_table.resumeAnswers();
+    runUntilIdle(m_io);
     m_clock.advance(10h);
     EXPECT_EQ(claim(*samsun, request("k", "a2")).verdict, ClaimVerdict::Granted);
     m_clock.advance(16h);
     removeExpired(*samsun);
-    EXPECT_EQ(m_table.rowsIn("claim-batches"), 1U);
+    EXPECT_EQ(m_table.rowCount("claim-batches"), 1U);
     EXPECT_EQ(claim(*samsun, request("k", "a3")).verdict, ClaimVerdict::Held);
 }
 
--- a/src/snipestall/peer/membership.cpp
+++ b/src/snipestall/peer/membership.cpp
@@ -30,8 +30,8 @@
     , m_term(term)
 { }
 
-void Membership::learn(const std::string &name, const std::string &dataCentre,
-                       const std::string &address)
+void Membership::addKnownMember(const std::string &name, const std::string &dataCentre,
+                                const std::string &address)
 {
     if (name == m_self)
         return;
@@ -57,7 +57,7 @@
     member.name = heartbeat.name;
     member.dataCentre = heartbeat.dataCentre;
     member.incarnation = heartbeat.incarnation;
-    member.lastHeard = now;
+    member.lastHeartbeat = now;
     member.settingsVersion = heartbeat.settingsVersion;
     member.pools = heartbeat.pools;
     // An address from the settings or the platform's list is kept, because it may lead through a
@@ -83,7 +83,7 @@
 void Membership::tick(std::chrono::steady_clock::time_point now)
 {
     for (auto &[name, member] : m_members) {
-        const bool silent = now - member.lastHeard > m_term;
+        const bool silent = now - member.lastHeartbeat > m_term;
         if (member.state == MemberState::Live && silent)
             change(member, MemberState::Suspected);
     }
--- a/src/snipestall/peer/membership_test.cpp
+++ b/src/snipestall/peer/membership_test.cpp
@@ -36,7 +36,7 @@
 {
     m_members.heartbeatReceived(makeHeartbeat("samsun-2", 1, true), Start);
     m_members.heartbeatReceived(makeHeartbeat("samsun-2", 1, false), Start + 1s);
-    m_members.learn("samsun-2", "samsun-hall", "127.0.0.1:1");
+    m_members.addKnownMember("samsun-2", "samsun-hall", "127.0.0.1:1");
     EXPECT_TRUE(m_members.livePeers().empty());
     m_members.heartbeatReceived(makeHeartbeat("samsun-2", 2, false), Start + 2s);
     EXPECT_EQ(m_members.livePeers().size(), 1U);
@@ -56,7 +56,7 @@
 // peer.
 TEST_F(MembershipTest, TheAddressOfTheSettingsIsKeptUntilTheInstanceIsReplaced)
 {
-    m_members.learn("samsun-2", "samsun-hall", "127.0.0.1:1");
+    m_members.addKnownMember("samsun-2", "samsun-hall", "127.0.0.1:1");
     Heartbeat heartbeat = makeHeartbeat("samsun-2", 1);
     heartbeat.address = "127.0.0.1:2";
     m_members.heartbeatReceived(heartbeat, Start);
--- a/src/snipestall/peer/peer_network.cpp
+++ b/src/snipestall/peer/peer_network.cpp
@@ -171,7 +171,7 @@
             continue;
         const Channel &channel = *m_channels[name];
         const Member *member = m_members.find(name);
-        const bool hasReportedRecently = now - member->lastHeard < m_options.interval / 2;
+        const bool hasReportedRecently = now - member->lastHeartbeat < m_options.interval / 2;
         if (channel.exchanging || (hasReportedRecently && !all))
             continue;
         boost::asio::co_spawn(m_io, exchange(name), boost::asio::detached);
--- a/src/snipestall/peer/settings_keeper_test.cpp
+++ b/src/snipestall/peer/settings_keeper_test.cpp
@@ -14,7 +14,7 @@
         + "}\ndata_centres:\n  samsun-hall: {share: 1.0}\noperators:\n  ayla: {key_hashes: ["
         + std::string(64, 'a') + "]}\n";
     const auto tree = settings::Tree::parse(yaml);
-    return { version, tree ? tree->hash() : "faulty", tree ? tree->toYaml() : yaml };
+    return { version, tree ? tree->hash() : "faulty", tree ? tree->toCanonicalYaml() : yaml };
 }
 
 // An operator lowers a limit, and then a peer that was cut off offers its older document. If it
--- a/src/snipestall/peer/settings_proposal.cpp
+++ b/src/snipestall/peer/settings_proposal.cpp
@@ -50,7 +50,7 @@
 {
     std::vector<settings::Difference> common;
     for (const settings::Difference &difference : theirs) {
-        if (settings::touch(std::span(&difference, 1), edits))
+        if (settings::changesOverlap(std::span(&difference, 1), edits))
             common.push_back(difference);
     }
     return common;
@@ -68,7 +68,7 @@
 SettingsProposal makeProposal(const settings::Tree &tree, std::uint64_t headVersion)
 {
     SettingsProposal proposal;
-    proposal.document = { headVersion + 1, tree.hash(), tree.toYaml() };
+    proposal.document = { headVersion + 1, tree.hash(), tree.toCanonicalYaml() };
     return proposal;
 }
 
--- a/src/snipestall/peer/settings_store_test.cpp
+++ b/src/snipestall/peer/settings_store_test.cpp
@@ -124,7 +124,7 @@
 TEST_F(SettingsStoreTest, ALostAnswerIsSettledByTheChangesId)
 {
     change(whole("c1"));
-    m_table.loseAnswers = 1;
+    m_table.answersToLose = 1;
     const auto result = change(edit("c2", 1, "customers/kiyi/weight", "3"));
     ASSERT_TRUE(result.has_value());
     EXPECT_EQ(result->version, 2U);
@@ -154,13 +154,13 @@
         const std::string id = "change-" + std::to_string(step);
         const std::uint64_t before = head();
         int calls = 0;
-        m_table.loseAnswers = 1;
+        m_table.answersToLose = 1;
         m_table.beforeCall = [&] { m_table.down = ++calls >= step; };
         const auto refused =
             change(edit(id, before, "customers/kiyi/weight", std::to_string(10 + step)));
         m_table.beforeCall = {};
         m_table.down = false;
-        m_table.loseAnswers = 0;
+        m_table.answersToLose = 0;
         ASSERT_FALSE(refused.has_value()) << step;
         const bool isIn = head() != before;
         const ErrorKind expected = isIn ? ErrorKind::OutcomeUnknown : ErrorKind::Unavailable;
--- a/src/snipestall/peer/steward.cpp
+++ b/src/snipestall/peer/steward.cpp
@@ -88,9 +88,9 @@
 /// centre that were started together would always call the table at the same time.
 milliseconds Steward::State::nextDelay()
 {
-    const auto quarter = static_cast<std::uint64_t>(options.renewEvery.count()) / 4;
+    const auto quarter = static_cast<std::uint64_t>(options.renewInterval.count()) / 4;
     const auto jitter = static_cast<std::int64_t>(random.below(quarter + 1));
-    return options.renewEvery - milliseconds(jitter);
+    return options.renewInterval - milliseconds(jitter);
 }
 
 void Steward::State::logChange()
--- a/src/snipestall/peer/steward_lease.cpp
+++ b/src/snipestall/peer/steward_lease.cpp
@@ -125,7 +125,7 @@
     // The previous holder's lease has ended, but an order that it sent just before may still be in
     // transit. The first order of this lease must come after it.
     if (!m_isHolder || m_fencing != taken.row.fencing)
-        m_ordersStart = taken.at + m_options.longestOrder;
+        m_ordersStart = taken.at + m_options.maxOrderDelay;
     m_isHolder = true;
     m_fencing = taken.row.fencing;
     m_token = taken.row.token;
--- a/src/snipestall/peer/steward_test.cpp
+++ b/src/snipestall/peer/steward_test.cpp
@@ -58,7 +58,7 @@
     EXPECT_TRUE(round(one));
     ASSERT_FALSE(round(two));
     EXPECT_FALSE(mayOrder(one));
-    m_clock.advance(m_options.longestOrder);
+    m_clock.advance(m_options.maxOrderDelay);
     EXPECT_EQ(mayOrder(one), 1U);
     EXPECT_FALSE(mayOrder(two));
 }
@@ -71,12 +71,12 @@
     StewardLease frozen = lease("frozen");
     StewardLease next = lease("next");
     round(frozen);
-    m_clock.advance(m_options.longestOrder);
+    m_clock.advance(m_options.maxOrderDelay);
     ASSERT_EQ(mayOrder(frozen), 1U);
     round(next);
     m_clock.advance(m_options.term);
     round(next);
-    m_clock.advance(m_options.longestOrder);
+    m_clock.advance(m_options.maxOrderDelay);
     EXPECT_EQ(mayOrder(next), 2U);
     EXPECT_FALSE(mayOrder(frozen));
     // After it has resumed, it reads the new holder from the row and does not renew the lease.
@@ -104,7 +104,7 @@
         m_clock.advance(100ms);
     }
     EXPECT_GT(lastOld, SteadyTime());
-    EXPECT_GE(firstNext - lastOld, m_options.safetyMargin + m_options.longestOrder);
+    EXPECT_GE(firstNext - lastOld, m_options.safetyMargin + m_options.maxOrderDelay);
 }
 
 // The answer to a renewal is delayed. If the lease counted from the answer and not from before the
@@ -130,7 +130,7 @@
     m_table.apply(*one.nextWrite(m_clock.steadyNow()));
     one.writeCompleted(fail(ErrorKind::OutcomeUnknown, "lost"));
     EXPECT_FALSE(mayOrder(one));
-    m_clock.advance(m_options.renewEvery);
+    m_clock.advance(m_options.renewInterval);
     observe(one);
     EXPECT_EQ(mayOrder(one), 1U);
     EXPECT_FALSE(one.held(SteadyTime() + m_options.term));
@@ -141,7 +141,7 @@
     StewardLease one = lease("one");
     for (int i = 0; i < 3; ++i) {
         round(one);
-        m_clock.advance(m_options.renewEvery);
+        m_clock.advance(m_options.renewInterval);
     }
     EXPECT_EQ(mayOrder(one), 1U);
     StewardLease two = lease("two");
@@ -170,7 +170,7 @@
     std::unique_ptr<Steward> steward(const std::string &instance)
     {
         StewardOptions options;
-        options.renewEvery = 1ms;
+        options.renewInterval = 1ms;
         return Steward::create(m_io, m_table, m_clock, "samsun-hall", instance, 1, options);
     }
 
@@ -183,7 +183,7 @@
     void stop(Steward &steward)
     {
         boost::asio::co_spawn(m_io, steward.stop(), boost::asio::detached);
-        drain(m_io);
+        runUntilIdle(m_io);
     }
 
     boost::asio::io_context m_io;
@@ -236,12 +236,12 @@
     const auto one = steward("one");
     one->start();
     runReads(2);
-    m_table.freeze();
+    m_table.pauseAnswers();
     runReads(1);
     m_clock.advance(20s);
     EXPECT_FALSE(one->mayOrder());
     m_table.beforeCall = [this] { m_table.down = true; };
-    m_table.thaw();
+    m_table.resumeAnswers();
     runReads(1);
     EXPECT_FALSE(one->mayOrder());
     stop(*one);
--- a/src/snipestall/peer/table_maintenance_test.cpp
+++ b/src/snipestall/peer/table_maintenance_test.cpp
@@ -39,7 +39,7 @@
     const auto maintenance = TableMaintenance::create(io, *claims, settings, mayRun, options);
     maintenance->start();
     runUntil(io, [&] { return asked >= 4; });
-    EXPECT_EQ(table.rowsIn("claims"), 1U);
+    EXPECT_EQ(table.rowCount("claims"), 1U);
     isSteward = true;
     runUntil(io, [&] { return table.rows.empty(); });
     EXPECT_EQ(claims->counters().rowsExpired, 1U);
--- a/src/snipestall/platform/fake_table_service.hpp
+++ b/src/snipestall/platform/fake_table_service.hpp
@@ -27,17 +27,17 @@
     /// While set, calls fail with Unavailable and have no effect.
     bool down = false;
     /// Number of following transactions that take effect, but whose answers are lost.
-    int loseAnswers = 0;
+    int answersToLose = 0;
     /// Number of following transactions that are lost before they take effect; their callers can't
     /// tell that they had no effect.
-    int loseRequests = 0;
+    int requestsToLose = 0;
     /// Called at the start of each transaction and read, so that a test can act at that moment.
     std::function<void()> beforeCall;
     /// Called after a transaction has taken effect and before its answer is returned.
     std::function<void()> beforeAnswer;
     /// Number of following transactions that are delivered late, as by a slow network: they fail
     /// with DeadlineExceeded and take effect in applyHeldRequests().
-    int holdRequests = 0;
+    int requestsToHold = 0;
 
     int transactions = 0;
     int reads = 0;
@@ -45,8 +45,8 @@
 
     /// Withholds the answers of transactions, which still take effect, and of reads, until
     /// resumeAnswers() is called.
-    void freeze() { m_isPaused = true; }
-    void thaw()
+    void pauseAnswers() { m_isPaused = true; }
+    void resumeAnswers()
     {
         m_isPaused = false;
         m_resumed.cancel();
@@ -54,7 +54,7 @@
 
     /// Applies the transactions held back by requestsToHold, after their callers have given up
     /// waiting for the answers.
-    void deliverLate()
+    void applyHeldRequests()
     {
         for (const Transaction &held : std::exchange(m_heldTransactions, {}))
             apply(held);
@@ -67,21 +67,21 @@
             beforeCall();
         if (down)
             co_return fail(ErrorKind::Unavailable, "down; wait");
-        if (holdRequests > 0) {
-            --holdRequests;
+        if (requestsToHold > 0) {
+            --requestsToHold;
             m_heldTransactions.push_back(std::move(transaction));
             co_return fail(ErrorKind::DeadlineExceeded, "slow; read back");
         }
-        if (loseRequests > 0) {
-            --loseRequests;
+        if (requestsToLose > 0) {
+            --requestsToLose;
             co_return fail(ErrorKind::OutcomeUnknown, "lost; read back");
         }
         TransactionOutcome outcome = apply(transaction);
         if (beforeAnswer)
             beforeAnswer();
         co_await waitUntilResumed();
-        if (loseAnswers > 0) {
-            --loseAnswers;
+        if (answersToLose > 0) {
+            --answersToLose;
             co_return fail(ErrorKind::OutcomeUnknown, "answer lost; read back");
         }
         co_return outcome;
@@ -142,7 +142,7 @@
     }
 
     /// Number of rows in a table.
-    [[nodiscard]] std::size_t rowsIn(const std::string &table) const
+    [[nodiscard]] std::size_t rowCount(const std::string &table) const
     {
         std::size_t count = 0;
         for (const auto &[key, row] : rows)
--- a/src/snipestall/platform/platform_json.cpp
+++ b/src/snipestall/platform/platform_json.cpp
@@ -135,8 +135,8 @@
 std::string encodeStart(const StartOrder &order)
 {
     json::object body;
-    body["order"] = order.order;
-    body["fencing"] = order.fencing;
+    body["order"] = order.orderId;
+    body["fencing"] = order.fencingToken;
     body["service"] = order.service;
     body["data_centre"] = order.dataCentre;
     body["class"] = order.instanceClass;
--- a/src/snipestall/platform/run_task.hpp
+++ b/src/snipestall/platform/run_task.hpp
@@ -14,10 +14,10 @@
 
 /// The result of a task that a test has started; empty until the task ends.
 template<typename T>
-using Slot = std::shared_ptr<std::optional<T>>;
+using TaskResult = std::shared_ptr<std::optional<T>>;
 
 template<typename T>
-wire::Task<void> storeResult(wire::Task<T> task, Slot<T> slot)
+wire::Task<void> storeResult(wire::Task<T> task, TaskResult<T> slot)
 {
     slot->emplace(co_await std::move(task));
 }
@@ -25,7 +25,7 @@
 /// Starts a task. The returned object holds the result once the event loop has run the task to its
 /// end.
 template<typename T>
-Slot<T> startTask(boost::asio::io_context &io, wire::Task<T> task)
+TaskResult<T> startTask(boost::asio::io_context &io, wire::Task<T> task)
 {
     auto slot = std::make_shared<std::optional<T>>();
     boost::asio::co_spawn(io, storeResult(std::move(task), slot), boost::asio::detached);
@@ -33,7 +33,7 @@
 }
 
 /// Runs the event loop until it has no work left.
-inline void drain(boost::asio::io_context &io)
+inline void runUntilIdle(boost::asio::io_context &io)
 {
     io.restart();
     io.run();
@@ -52,7 +52,7 @@
 T runTask(boost::asio::io_context &io, wire::Task<T> task)
 {
     const auto slot = startTask(io, std::move(task));
-    drain(io);
+    runUntilIdle(io);
     return std::move(slot->value());
 }
 
--- a/src/snipestall/policy/fake_fleet.hpp
+++ b/src/snipestall/policy/fake_fleet.hpp
@@ -270,7 +270,7 @@
     {
         const RequestHandle request = m_attempts.at(attempt).request;
         endAttempt(attempt);
-        of(request).cut = of(request).cut || result == AttemptResult::Cut;
+        of(request).cut = of(request).cut || result == AttemptResult::ConnectionLost;
         if (result == AttemptResult::Completed) {
             of(request).completed = now;
             ++of(request).ends;
--- a/src/snipestall/policy/outcomes.cpp
+++ b/src/snipestall/policy/outcomes.cpp
@@ -111,7 +111,7 @@
         return;
     case AttemptResult::NotSent:
     case AttemptResult::Declined:
-    case AttemptResult::Cut:
+    case AttemptResult::ConnectionLost:
     case AttemptResult::ServerDied:
         retry(state, *request, event);
         return;
--- a/src/snipestall/policy/retry.cpp
+++ b/src/snipestall/policy/retry.cpp
@@ -27,7 +27,7 @@
 /// the request ends here. The I/O layer, which knows that bytes were sent, answers `unknown`.
 bool mayHaveRun(const Request &request, AttemptResult result)
 {
-    const bool cut = result == AttemptResult::Cut || result == AttemptResult::ServerDied;
+    const bool cut = result == AttemptResult::ConnectionLost || result == AttemptResult::ServerDied;
     return cut && !request.idempotent;
 }
 
--- a/src/snipestall/policy/retry_test.cpp
+++ b/src/snipestall/policy/retry_test.cpp
@@ -206,7 +206,7 @@
 TEST_F(RetryTest, RetriesStayWithinTheirBudget)
 {
     const ServerHandle server = m_fleet.addServer(32);
-    m_fleet.servers[server.value].result = AttemptResult::Cut;
+    m_fleet.servers[server.value].result = AttemptResult::ConnectionLost;
     m_fleet.load(20, 20s, [&] { return m_fleet.request("ferries"); });
     EXPECT_LE(m_fleet.servers[server.value].dispatched, 20U * 20U * 12 / 10 + 32);
     m_fleet.servers[server.value].result = AttemptResult::Completed;
--- a/src/snipestall/policy/world_property_test.cpp
+++ b/src/snipestall/policy/world_property_test.cpp
@@ -151,7 +151,8 @@
     static AttemptResult resultFor(std::uint32_t value)
     {
         constexpr AttemptResult Results[] = { AttemptResult::Completed, AttemptResult::Declined,
-                                              AttemptResult::Cut, AttemptResult::NotSent };
+                                              AttemptResult::ConnectionLost,
+                                              AttemptResult::NotSent };
         return Results[value % std::size(Results)];
     }
 
--- a/src/snipestall/policy/world_test.cpp
+++ b/src/snipestall/policy/world_test.cpp
@@ -140,7 +140,7 @@
 TEST_F(WorldTest, ASentNonIdempotentRequestIsNeverRetried)
 {
     const ServerHandle server = m_fleet.addServer(1);
-    m_fleet.servers[server.value].result = AttemptResult::Cut;
+    m_fleet.servers[server.value].result = AttemptResult::ConnectionLost;
     RequestArrived event = m_fleet.request("ferries");
     event.idempotent = false;
     const RequestHandle request = m_fleet.send(event);
--- a/src/snipestall/serving/crash_watch.cpp
+++ b/src/snipestall/serving/crash_watch.cpp
@@ -5,7 +5,8 @@
 
 namespace snipestall::serving {
 
-bool CrashWatch::connectionBroke(std::uint64_t fingerprint, const std::string &server, SteadyTime now)
+bool CrashWatch::connectionBroke(std::uint64_t fingerprint, const std::string &server,
+                                 SteadyTime now)
 {
     auto &requests = m_brokenRequests[server];
     std::erase_if(requests,
--- a/src/snipestall/serving/demand_meter.cpp
+++ b/src/snipestall/serving/demand_meter.cpp
@@ -64,7 +64,8 @@
     m_ownWork[service] += took.count() / std::max(slots, 1);
 }
 
-void DemandMeter::updatePeerWork(const std::string &peer, std::uint64_t series, const ServiceWork &work)
+void DemandMeter::updatePeerWork(const std::string &peer, std::uint64_t series,
+                                 const ServiceWork &work)
 {
     Peer &known = m_peers[peer];
     if (known.series != series) {
--- a/src/snipestall/serving/demand_meter_test.cpp
+++ b/src/snipestall/serving/demand_meter_test.cpp
@@ -55,7 +55,8 @@
     meter.sample(now);
     for (int i = 1; i <= 60; ++i) {
         now += 100ms;
-        meter.updatePeerWork("other", i < 30 ? 1 : 2, { { "lm", i < 30 ? 50 + i * 0.1 : i * 0.1 } });
+        meter.updatePeerWork("other", i < 30 ? 1 : 2,
+                             { { "lm", i < 30 ? 50 + i * 0.1 : i * 0.1 } });
         meter.sample(now);
     }
     EXPECT_LE(meter.needed("lm"), 1.1);
--- a/src/snipestall/serving/placement.cpp
+++ b/src/snipestall/serving/placement.cpp
@@ -117,8 +117,9 @@
     return std::max(0.0, prompt.promptTokens - cachedTokens);
 }
 
-ServerChoice Placement::chooseForPrompt(const Demand &demand, const std::vector<ServerStatePtr> &servers,
-                                  SteadyTime now) const
+ServerChoice Placement::chooseForPrompt(const Demand &demand,
+                                        const std::vector<ServerStatePtr> &servers,
+                                        SteadyTime now) const
 {
     const Prompt &prompt = *demand.prompt;
     const std::string preferred = preferredServer(prompt, servers);
@@ -153,13 +154,14 @@
 {
     if (!demand.unansweredFingerprint)
         return m_random.uniform();
-    const std::uint64_t hash = stableHash(std::to_string(*demand.unansweredFingerprint) + server.key);
+    const std::uint64_t hash =
+        stableHash(std::to_string(*demand.unansweredFingerprint) + server.key);
     return static_cast<double>(hash)
         / static_cast<double>(std::numeric_limits<std::uint64_t>::max());
 }
 
-ServerChoice Placement::chooseForCall(const Demand &demand, const std::vector<ServerStatePtr> &servers,
-                                SteadyTime now)
+ServerChoice Placement::chooseForCall(const Demand &demand,
+                                      const std::vector<ServerStatePtr> &servers, SteadyTime now)
 {
     ServerChoice best;
     double bestCost = std::numeric_limits<double>::infinity();
--- a/src/snipestall/serving/quota_keeper.cpp
+++ b/src/snipestall/serving/quota_keeper.cpp
@@ -296,7 +296,7 @@
 }
 
 void QuotaKeeper::updatePeerUse(const std::string &peer, QuotaPeer info, const QuotaUse &use,
-                          SteadyTime now)
+                                SteadyTime now)
 {
     forgetStoppedPeers(now);
     if (info.isHub)
--- a/src/snipestall/serving/quota_keeper_test.cpp
+++ b/src/snipestall/serving/quota_keeper_test.cpp
@@ -66,8 +66,8 @@
         for (std::size_t i = 0; i < m_keepers.size(); ++i) {
             for (std::size_t j = 0; j < m_keepers.size(); ++j) {
                 if (i != j)
-                    m_keepers[i]->updatePeerUse(std::to_string(j), { j + 1, 1 }, m_keepers[j]->ownUse(),
-                                          now);
+                    m_keepers[i]->updatePeerUse(std::to_string(j), { j + 1, 1 },
+                                                m_keepers[j]->ownUse(), now);
             }
         }
     }
@@ -280,8 +280,8 @@
         for (std::size_t i = 0; i < keepers.size(); ++i) {
             for (std::size_t j = 0; j < keepers.size(); ++j) {
                 if (i != j)
-                    keepers[i]->updatePeerUse(std::to_string(j), { incarnation, 1 }, keepers[j]->ownUse(),
-                                        at);
+                    keepers[i]->updatePeerUse(std::to_string(j), { incarnation, 1 },
+                                              keepers[j]->ownUse(), at);
             }
         }
     };
@@ -373,7 +373,8 @@
     quotas.configure({ customer(1000, 1000) }, Start);
     receiveHubReports(quotas, 1500, Start + 2s);
     requestLittle(quotas, Start + 2s, Start + 3600ms);
-    quotas.updatePeerUse("hub", { 1, 59, 59, true }, { { "harbour", { 3000, 3000 } } }, Start + 3600ms);
+    quotas.updatePeerUse("hub", { 1, 59, 59, true }, { { "harbour", { 3000, 3000 } } },
+                         Start + 3600ms);
     EXPECT_TRUE(quotas.take("harbour", 400, Start + 3600ms).admitted);
 }
 
--- a/src/snipestall/serving/server_table.cpp
+++ b/src/snipestall/serving/server_table.cpp
@@ -11,7 +11,8 @@
 std::string keyOf(const BackendServer &server)
 {
     using std::chrono::milliseconds;
-    const auto startedAt = std::chrono::duration_cast<milliseconds>(server.startedAt.time_since_epoch());
+    const auto startedAt =
+        std::chrono::duration_cast<milliseconds>(server.startedAt.time_since_epoch());
     return server.id + "@" + std::to_string(startedAt.count());
 }
 
--- a/src/snipestall/serving/usage_ledger.cpp
+++ b/src/snipestall/serving/usage_ledger.cpp
@@ -4,7 +4,8 @@
 
 namespace snipestall::serving {
 
-void UsageLedger::addCounts(std::int64_t window, const std::string &process, const UsageCounts &counts)
+void UsageLedger::addCounts(std::int64_t window, const std::string &process,
+                            const UsageCounts &counts)
 {
     UsageCounts &known = m_windows[window][process];
     for (const auto &[customer, count] : counts) {
--- a/src/snipestall/serving/usage_ledger_test.cpp
+++ b/src/snipestall/serving/usage_ledger_test.cpp
@@ -16,7 +16,8 @@
     ledger.addCounts(7, "a/1", { { "harbour", 11 } });
     ledger.addCounts(7, "b/1", { { "harbour", 5 } });
     EXPECT_EQ(ledger.total(7), (UsageCounts { { "harbour", 17 }, { "ferry", 1 } }));
-    EXPECT_EQ(ledger.countsByProcess(7).at("a/1"), (UsageCounts { { "harbour", 12 }, { "ferry", 1 } }));
+    EXPECT_EQ(ledger.countsByProcess(7).at("a/1"),
+              (UsageCounts { { "harbour", 12 }, { "ferry", 1 } }));
 }
 
 TEST(UsageLedger, ARestartedProcessCountsInAdditionToThePreviousOne)
--- a/src/snipestall/settings/tree.cpp
+++ b/src/snipestall/settings/tree.cpp
@@ -74,7 +74,7 @@
 Tree &Tree::operator=(Tree &&) noexcept = default;
 Tree::~Tree() = default;
 
-std::string Tree::toYaml() const
+std::string Tree::toCanonicalYaml() const
 {
     return m_content->yaml;
 }
--- a/src/snipestall/settings/tree_edits.cpp
+++ b/src/snipestall/settings/tree_edits.cpp
@@ -128,7 +128,7 @@
     return edits;
 }
 
-bool touch(std::span<const Difference> a, std::span<const Edit> b)
+bool changesOverlap(std::span<const Difference> a, std::span<const Edit> b)
 {
     return std::any_of(a.begin(), a.end(), [&](const Difference &theirs) {
         return std::any_of(b.begin(), b.end(),
--- a/src/snipestall/settings/tree_random_test.cpp
+++ b/src/snipestall/settings/tree_random_test.cpp
@@ -54,7 +54,7 @@
                 continue;
             ++accepted;
             tree = std::move(*next);
-            ASSERT_EQ(Tree::parse(tree.toYaml()).value().hash(), tree.hash()) << seed;
+            ASSERT_EQ(Tree::parse(tree.toCanonicalYaml()).value().hash(), tree.hash()) << seed;
             ASSERT_EQ(Tree::parse(tree.toReadableYaml()).value().hash(), tree.hash()) << seed;
             ASSERT_EQ(withEdits(first, editsBetween(first, tree)).value().hash(), tree.hash());
             ASSERT_NE(tree.effective("samsun-hall", 1), nullptr);
@@ -68,7 +68,7 @@
 TEST(TreeRandomTest, DamagedTextsGiveFaultsOrATreeAndNothingElse)
 {
     const std::string whole = exampleYaml("midlands");
-    const std::string stored = Tree::parse(whole).value().toYaml();
+    const std::string stored = Tree::parse(whole).value().toCanonicalYaml();
     int faulty = 0;
     for (int seed = 1; seed <= Seeds; ++seed) {
         Random random(static_cast<std::uint64_t>(seed));
--- a/src/snipestall/settings/tree_test.cpp
+++ b/src/snipestall/settings/tree_test.cpp
@@ -45,9 +45,9 @@
     const auto b = Tree::parse("fleet: {latency: {deadline: 2000ms}, weight: 2.0}\n"
                                + std::string(MinimalYaml));
     ASSERT_TRUE(a && b);
-    EXPECT_EQ(a->toYaml(), b->toYaml());
+    EXPECT_EQ(a->toCanonicalYaml(), b->toCanonicalYaml());
     EXPECT_EQ(a->hash(), b->hash());
-    EXPECT_EQ(Tree::parse(a->toYaml())->hash(), a->hash());
+    EXPECT_EQ(Tree::parse(a->toCanonicalYaml())->hash(), a->hash());
 }
 
 TEST(TreeTest, EveryLevelInheritsAndMayOverride)
@@ -218,11 +218,11 @@
 TEST(TreeTest, ATextLikeTheCanonicalOneIsCheckedLikeAnyOther)
 {
     const auto tree = parseWithOperator("fleet: {weight: 2}\n");
-    std::string twice = tree.toYaml();
+    std::string twice = tree.toCanonicalYaml();
     const std::string value = "\"weight\":\"2\"";
     twice.replace(twice.find(value), value.size(), "\"weight\":\"3\"," + value);
     EXPECT_EQ(faultAt(faultsOf(twice), "fleet/weight")->found, "written twice");
-    std::string wrong = tree.toYaml();
+    std::string wrong = tree.toCanonicalYaml();
     wrong.replace(wrong.find(value), value.size(), "\"weight\":\"-2\"");
     EXPECT_EQ(faultAt(faultsOf(wrong), "fleet/weight")->found, "-2");
     EXPECT_EQ(Tree::parse(tree.toReadableYaml())->hash(), tree.hash());
@@ -250,8 +250,8 @@
     const auto theirs = differences(before, withEdits(before, removal).value());
     const std::vector<Edit> ours { { "customers/kiyi/weight", "2" } };
     const std::vector<Edit> elsewhere { { "customers/kiyi-2/weight", "2" } };
-    EXPECT_TRUE(touch(theirs, ours));
-    EXPECT_FALSE(touch(theirs, elsewhere));
+    EXPECT_TRUE(changesOverlap(theirs, ours));
+    EXPECT_FALSE(changesOverlap(theirs, elsewhere));
 }
 
 } // namespace
--- a/src/snipestall/wire/event_splitter_test.cpp
+++ b/src/snipestall/wire/event_splitter_test.cpp
@@ -17,7 +17,7 @@
         EXPECT_EQ(events[0].text + events[1].text, body);
         EXPECT_EQ(events[0].id, 1U);
         EXPECT_EQ(events[1].id, 2U);
-        EXPECT_TRUE(splitter.rest().empty());
+        EXPECT_TRUE(splitter.incompleteEvent().empty());
     }
 }
 
@@ -30,7 +30,7 @@
     const auto events = splitter.feed("id: 7\ndata: whole\n\nid: 8\ndata: ha");
     ASSERT_EQ(events.size(), 1U);
     EXPECT_EQ(events[0].id, 7U);
-    EXPECT_EQ(splitter.rest(), "id: 8\ndata: ha");
+    EXPECT_EQ(splitter.incompleteEvent(), "id: 8\ndata: ha");
 }
 
 TEST(EventSplitter, IgnoresAnIdThatIsNotANumber)
--- a/standins/platform/cloud.cpp
+++ b/standins/platform/cloud.cpp
@@ -78,13 +78,13 @@
 bool Cloud::started(const std::string &order) const
 {
     return std::any_of(m_starts.begin(), m_starts.end(),
-                       [&order](const Start &start) { return start.order.order == order; });
+                       [&order](const Start &start) { return start.order.orderId == order; });
 }
 
 std::string Cloud::start(const platform::StartOrder &order)
 {
     for (const auto &start : m_starts) {
-        if (start.order.order == order.order)
+        if (start.order.orderId == order.orderId)
             return start.instance;
     }
     std::string name = order.dataCentre + "-started-" + std::to_string(m_starts.size() + 1);
--- a/standins/platform/platform.cpp
+++ b/standins/platform/platform.cpp
@@ -181,9 +181,9 @@
 HttpResponse Platform::start(const HttpRequest &request)
 {
     const auto order = parseStart(parseObject(request.body));
-    if (!m_cloud.admits(order.dataCentre, order.fencing))
+    if (!m_cloud.admits(order.dataCentre, order.fencingToken))
         return errorResponse(409, "old fencing number; a newer one has been seen");
-    const bool repeated = m_cloud.started(order.order);
+    const bool repeated = m_cloud.started(order.orderId);
     if (m_faults.refuseStarts && !repeated) {
         ++m_counters.refusedStarts;
         return errorResponse(429, "no capacity; try another data centre or class");
--- a/standins/platform/platform_json.cpp
+++ b/standins/platform/platform_json.cpp
@@ -76,12 +76,12 @@
 platform::StartOrder parseStart(const json::object &body)
 {
     platform::StartOrder order;
-    order.order = textField(body, "order");
-    order.fencing = unsignedField(body, "fencing");
+    order.orderId = textField(body, "order");
+    order.fencingToken = unsignedField(body, "fencing");
     order.service = textField(body, "service");
     order.dataCentre = textField(body, "data_centre");
     order.instanceClass = textField(body, "class");
-    if (order.order.empty())
+    if (order.orderId.empty())
         throw std::invalid_argument("a start has an order id");
     return order;
 }
@@ -125,8 +125,8 @@
     json::array array;
     for (const auto &start : starts) {
         json::object object;
-        object["order"] = start.order.order;
-        object["fencing"] = start.order.fencing;
+        object["order"] = start.order.orderId;
+        object["fencing"] = start.order.fencingToken;
         object["instance"] = start.instance;
         object["service"] = start.order.service;
         object["data_centre"] = start.order.dataCentre;
--- a/tests/gateway/shutdown_test.cpp
+++ b/tests/gateway/shutdown_test.cpp
@@ -48,7 +48,7 @@
     run([this]() -> Task<void> {
         const Instance instance = co_await servingInstance(30s);
         const std::size_t ran = m_first.ran().size() + m_second.ran().size();
-        m_store.staySilent(true);
+        m_store.setUnresponsive(true);
         instance.gateway->drain();
         co_await wire::sleepFor(serving::ShutdownPlan::AcceptPeriod);
         const HttpResponse late = co_await fetch(instance.callers, "/safe/x");
--- a/tests/policy/harness/cluster_commands.cpp
+++ b/tests/policy/harness/cluster_commands.cpp
@@ -170,7 +170,7 @@
         }
         // An export cut off by the reclaim leaves nothing to import.
         if (!source->isAlive()) {
-            receiveEnd(node.index(), dispatch.attempt, AttemptResult::Cut, {});
+            receiveEnd(node.index(), dispatch.attempt, AttemptResult::ConnectionLost, {});
             return;
         }
         send(node, dispatch, true);
--- a/tests/policy/harness/fake_server.cpp
+++ b/tests/policy/harness/fake_server.cpp
@@ -36,8 +36,9 @@
 bool FakeServer::start(Work work)
 {
     if (m_failsFast) {
-        m_loop.after(FailFastDelay,
-                     [this, id = work.id] { m_listener.onEnded(id, AttemptResult::Cut); });
+        m_loop.after(FailFastDelay, [this, id = work.id] {
+            m_listener.onEnded(id, AttemptResult::ConnectionLost);
+        });
         return true;
     }
     if (m_batch.size() + m_queue.size() >= m_model.maxBatch + m_model.queueLimit) {
--- a/tests/store/store_on_standin_test.cpp
+++ b/tests/store/store_on_standin_test.cpp
@@ -132,7 +132,7 @@
     constexpr int ClaimsEach = 50;
     std::vector<std::unique_ptr<HttpPlatform>> platforms;
     std::vector<std::unique_ptr<peer::ClaimKeeper>> keepers;
-    std::vector<Slot<peer::ClaimOutcome>> outcomes;
+    std::vector<TaskResult<peer::ClaimOutcome>> outcomes;
     faults(R"({"table":"down"})");
     for (int instance = 0; instance < Instances; ++instance) {
         platforms.push_back(connect());
@@ -192,8 +192,8 @@
     peer::StewardOptions options;
     options.term = 500ms;
     options.safetyMargin = 100ms;
-    options.longestOrder = 50ms;
-    options.renewEvery = 50ms;
+    options.maxOrderDelay = 50ms;
+    options.renewInterval = 50ms;
     const auto steward =
         peer::Steward::create(m_io, *platform, m_clock, "samsun-hall", "samsun-1", 1, options);
     steward->start();
@@ -205,7 +205,7 @@
     runUntil(m_io, [&] { return steward->mayOrder().has_value(); });
     EXPECT_GE(steward->mayOrder(), fencing);
     boost::asio::co_spawn(m_io, steward->stop(), boost::asio::detached);
-    drain(m_io);
+    runUntilIdle(m_io);
 }
 
 TEST_F(StoreOnStandinTest, OrdersObjectsAndTheListSpeakThePlatformsProtocol)
