--- a/apps/snipestallctl/change_id.cpp
+++ b/apps/snipestallctl/change_id.cpp
@@ -17,7 +17,8 @@
     constexpr const char *Digits = "0123456789abcdef";
     std::vector<unsigned char> bytes(size);
     if (RAND_bytes(bytes.data(), static_cast<int>(size)) != 1)
-        throw Exception({ ErrorKind::Internal, "no random numbers; check OpenSSL" });
+        throw Exception({ ErrorKind::Internal,
+                          "OpenSSL could not generate random numbers; check its installation" });
     std::string text;
     for (const unsigned char byte : bytes) {
         text += Digits[byte >> 4U];
--- a/apps/snipestallctl/change_id.hpp
+++ b/apps/snipestallctl/change_id.hpp
@@ -4,10 +4,12 @@
 
 namespace snipestall::ctl {
 
-/// A random id that no other change has: 128 bits in hex.
+/// Returns a random change id of 128 bits in hex, which no other change has.
+/// Throws Exception if OpenSSL has no random numbers.
 std::string newChangeId();
 
-/// A random bearer key of 256 bits.
+/// Returns a random bearer key of 256 bits in hex.
+/// Throws Exception if OpenSSL has no random numbers.
 std::string newKey();
 
 } // namespace snipestall::ctl
--- a/apps/snipestallctl/command_test.cpp
+++ b/apps/snipestallctl/command_test.cpp
@@ -1,6 +1,6 @@
 #include "command.hpp"
 
-#include "test_fleet.hpp"
+#include "operators_api_fixture.hpp"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -16,20 +16,20 @@
 using testing::HasSubstr;
 using testing::Not;
 
-const std::string Karadeniz = SNIPESTALL_SOURCE_DIR "/examples/settings/karadeniz.yaml";
+const std::string ExampleSettings = SNIPESTALL_SOURCE_DIR "/examples/settings/karadeniz.yaml";
 
-/// What a command printed and how it ended.
-struct Ended
+/// The exit code and the output of a command.
+struct CommandResult
 {
     ExitCode code;
     std::string out;
     std::string err;
 };
 
-class CommandTest : public TestFleet
+class CommandTest : public OperatorsApiFixture
 {
 protected:
-    Ended run(const std::vector<std::string> &words) const
+    CommandResult run(const std::vector<std::string> &words) const
     {
         std::ostringstream out;
         std::ostringstream err;
@@ -39,12 +39,12 @@
 
     void applyExample()
     {
-        m_options.file = Karadeniz;
+        m_options.file = ExampleSettings;
         ASSERT_EQ(run({ "apply" }).code, ExitCode::Ok);
-        m_options.key = AylasKey;
+        m_options.key = AylaKey;
     }
 
-    std::string fileOf(const std::string &text)
+    std::string writeFile(const std::string &text)
     {
         m_file = testing::TempDir() + "snipestallctl-" + std::to_string(getpid()) + ".yaml";
         std::ofstream(m_file) << text;
@@ -60,7 +60,7 @@
     std::string m_file;
 };
 
-TEST_F(CommandTest, FromNothingToAChangedLimitInForce)
+TEST_F(CommandTest, AppliesTheFirstDocumentAndThenChangesALimit)
 {
     EXPECT_THAT(run({ "get" }).err, HasSubstr("no settings yet"));
     applyExample();
@@ -78,7 +78,7 @@
 
 TEST_F(CommandTest, TheFirstDocumentCanBeWaitedForWithTheBootstrapKey)
 {
-    m_options.file = Karadeniz;
+    m_options.file = ExampleSettings;
     m_options.wait = true;
     m_options.inForceWithin = std::chrono::milliseconds(300);
     EXPECT_EQ(run({ "apply" }).code, ExitCode::Ok);
@@ -89,10 +89,10 @@
     applyExample();
     m_options.wait = true;
     m_options.inForceWithin = std::chrono::milliseconds(300);
-    m_server.onLoop([this] { m_status.follows = &m_keeper; });
+    m_server.onLoop([this] { m_status.settingsKeeper = &m_keeper; });
     EXPECT_EQ(run({ "set", "fleet/weight", "2" }).code, ExitCode::Ok);
-    m_server.onLoop([this] { m_status.follows = nullptr; });
-    const Ended behind = run({ "set", "fleet/weight", "3" });
+    m_server.onLoop([this] { m_status.settingsKeeper = nullptr; });
+    const CommandResult behind = run({ "set", "fleet/weight", "3" });
     EXPECT_EQ(behind.code, ExitCode::NotInForce);
     EXPECT_THAT(behind.err, HasSubstr("not yet in force at 127.0.0.1"));
 }
@@ -112,8 +112,8 @@
     EXPECT_EQ(run({ "rollback", "9" }).code, ExitCode::BadInput);
 }
 
-// A customer's key leaks and is taken away. Weeks later someone rolls a limit back to a version
-// from before; the leaked key must not open the door again.
+// A customer's leaked key is removed. A later rollback to a version from before must not make the
+// leaked key valid again.
 TEST_F(CommandTest, ARollbackDoesNotBringBackKeysThatWereTakenAway)
 {
     applyExample();
@@ -132,10 +132,11 @@
     EXPECT_EQ(run({ "get", "operators/deniz" }).code, ExitCode::Ok);
 }
 
-// Deniz takes the document to a file and edits it. Meanwhile ayla changes another customer and then
-// the same one. The first must stay, although the file still has the old value; the second must be
-// shown to deniz, with the way to go on.
-TEST_F(CommandTest, AnEditedFileKeepsWhatOthersChangedAndShowsWhatTheyChangedToo)
+// Deniz writes the document to a file and edits it, while ayla changes another customer. Ayla's
+// change must stay, although the file still has the old value. When the file is applied again after
+// the same customer has changed, it must be refused; the message shows that change and how to
+// continue.
+TEST_F(CommandTest, AnEditedFileKeepsOthersChangesAndShowsConflictingOnes)
 {
     applyExample();
     m_options.output = OutputFormat::Yaml;
@@ -146,7 +147,7 @@
     run({ "set", "customers/coastal-ferries/weight", "1" });
 
     m_options.key = "example-operator-deniz";
-    m_options.file = fileOf(text);
+    m_options.file = writeFile(text);
     EXPECT_EQ(run({ "apply" }).code, ExitCode::Ok);
     const std::string now = run({ "get" }).out;
     EXPECT_THAT(now, HasSubstr("customers/coastal-ferries/weight"));
@@ -154,8 +155,8 @@
     EXPECT_THAT(run({ "get", "customers/harbour-office/weight" }).out, HasSubstr("  4\n"));
 
     text.replace(text.find("weight: 4"), wanted.size(), "weight: 5");
-    m_options.file = fileOf(text);
-    const Ended refused = run({ "apply" });
+    m_options.file = writeFile(text);
+    const CommandResult refused = run({ "apply" });
     EXPECT_EQ(refused.code, ExitCode::Refused);
     EXPECT_THAT(refused.err, HasSubstr("customers/harbour-office/weight: 3 -> 4"));
     EXPECT_THAT(refused.err, HasSubstr("by deniz"));
@@ -165,12 +166,12 @@
 TEST_F(CommandTest, EveryFaultIsNamedAndNothingIsApplied)
 {
     applyExample();
-    const Ended faulty = run({ "set", "fleet/weight", "-1", "fleet/cost_preference", "2" });
+    const CommandResult faulty = run({ "set", "fleet/weight", "-1", "fleet/cost_preference", "2" });
     EXPECT_EQ(faulty.code, ExitCode::BadInput);
     EXPECT_THAT(faulty.err, HasSubstr("fleet/weight: found -1; allowed: a number above 0"));
     EXPECT_THAT(faulty.err, HasSubstr("fleet/cost_preference: found 2"));
-    m_options.file = fileOf("fleet: {weigth: 1}");
-    const Ended check = run({ "check" });
+    m_options.file = writeFile("fleet: {weigth: 1}");
+    const CommandResult check = run({ "check" });
     EXPECT_EQ(check.code, ExitCode::BadInput);
     EXPECT_THAT(check.err, HasSubstr("did you mean weight?"));
     EXPECT_EQ(run({ "apply" }).code, ExitCode::BadInput);
@@ -181,14 +182,15 @@
 {
     applyExample();
     m_server.onLoop([this] { m_table.down = true; });
-    const Ended shown = run({ "get", "fleet" });
+    const CommandResult shown = run({ "get", "fleet" });
     EXPECT_EQ(shown.code, ExitCode::Ok);
     EXPECT_THAT(shown.err, HasSubstr("does not answer"));
     EXPECT_EQ(run({ "set", "fleet/weight", "2" }).code, ExitCode::Unreachable);
 }
 
-// The table commits and its answer is lost; then it stays down. The command ends as unknown and
-// names the change's id, with which the operator later learns that the change is in.
+// The table commits the change, but its answer is lost and the table stays down. The command must
+// end with OutcomeUnknown and print the change's id, with which the operator later finds out that
+// the change was applied.
 TEST_F(CommandTest, AnUnknownOutcomeNamesTheIdThatSettlesIt)
 {
     applyExample();
@@ -197,7 +199,7 @@
         m_table.loseAnswers = 1;
         m_table.beforeAnswer = [this] { m_table.down = true; };
     });
-    const Ended unknown = run({ "set", "fleet/weight", "2" });
+    const CommandResult unknown = run({ "set", "fleet/weight", "2" });
     EXPECT_EQ(unknown.code, ExitCode::OutcomeUnknown);
     EXPECT_THAT(unknown.err, HasSubstr("--change_id my-change"));
     m_server.onLoop([this] {
@@ -207,7 +209,7 @@
     EXPECT_THAT(run({ "set", "fleet/weight", "2" }).out, HasSubstr("2        my-change"));
 }
 
-TEST_F(CommandTest, WrongKeysWordsAndServersEndWithTheirCodes)
+TEST_F(CommandTest, WrongKeysCommandsAndServersReturnTheirExitCodes)
 {
     applyExample();
     m_options.key = "guess";
@@ -245,12 +247,12 @@
     EXPECT_THAT(run({ "status" }).out, HasSubstr("instance: samsun-1"));
 }
 
-TEST_F(CommandTest, EveryCommandHasHelpAndStandsInTheCompletion)
+TEST_F(CommandTest, EveryCommandHasHelpAndIsInTheCompletion)
 {
     const std::string completion = run({ "completion", "bash" }).out;
     m_options.help = true;
     for (const Command &command : commands()) {
-        const Ended help = run({ std::string(command.name) });
+        const CommandResult help = run({ std::string(command.name) });
         EXPECT_EQ(help.code, ExitCode::Ok);
         EXPECT_THAT(help.out, HasSubstr(std::string(command.usage)));
         EXPECT_THAT(completion, HasSubstr(std::string(command.name)));
--- a/apps/snipestallctl/commands.hpp
+++ b/apps/snipestallctl/commands.hpp
@@ -4,25 +4,25 @@
 
 namespace snipestall::ctl {
 
-// Commands that only read from a server.
-ExitCode runGet(const Invocation &run);
-ExitCode runDiff(const Invocation &run);
-ExitCode runHistory(const Invocation &run);
-ExitCode runAudit(const Invocation &run);
-ExitCode runStatus(const Invocation &run);
+// Commands that read from a server without changing anything.
+ExitCode runGet(const Invocation &invocation);
+ExitCode runDiff(const Invocation &invocation);
+ExitCode runHistory(const Invocation &invocation);
+ExitCode runAudit(const Invocation &invocation);
+ExitCode runStatus(const Invocation &invocation);
 
-// Commands that change something.
-ExitCode runSet(const Invocation &run);
-ExitCode runUnset(const Invocation &run);
-ExitCode runApply(const Invocation &run);
-ExitCode runRollback(const Invocation &run);
-ExitCode runDrain(const Invocation &run);
+// Commands that change the settings or the state of an instance.
+ExitCode runSet(const Invocation &invocation);
+ExitCode runUnset(const Invocation &invocation);
+ExitCode runApply(const Invocation &invocation);
+ExitCode runRollback(const Invocation &invocation);
+ExitCode runDrain(const Invocation &invocation);
 
-// Commands that need no server.
-ExitCode runExplain(const Invocation &run);
-ExitCode runCheck(const Invocation &run);
-ExitCode runNewKey(const Invocation &run);
-ExitCode runReference(const Invocation &run);
-ExitCode runCompletion(const Invocation &run);
+// Commands that run without a server.
+ExitCode runExplain(const Invocation &invocation);
+ExitCode runCheck(const Invocation &invocation);
+ExitCode runNewKey(const Invocation &invocation);
+ExitCode runReference(const Invocation &invocation);
+ExitCode runCompletion(const Invocation &invocation);
 
 } // namespace snipestall::ctl
--- a/apps/snipestallctl/commands_change.cpp
+++ b/apps/snipestallctl/commands_change.cpp
@@ -19,36 +19,38 @@
 
 namespace {
 
-// A client that vanishes with the answer unread leaves the operator with nothing to ask by, so the
-// id is part of the message.
-Failure withWayOn(Failure failure, const std::string &changeId)
+// If the outcome is unknown, the operator needs the change's id to find out whether the change was
+// applied, so the id is part of the message.
+Failure withRetryHint(Failure failure, const std::string &changeId)
 {
     if (failure.code == ExitCode::OutcomeUnknown)
         failure.refusal.error.message +=
-            "\nThe change may be in. To find out, run the same command "
+            "\nThe change may have been applied. To find out, run the same command "
             "with --change_id "
-            + changeId + " added: it takes effect once at most.";
+            + changeId + " added: the change takes effect at most once.";
     return failure;
 }
 
-// The bootstrap key that makes the first version is refused from the moment that this version is in
-// force: there the refusal is the sign that was waited for.
+// The first version is made with the bootstrap key, and servers refuse that key as soon as this
+// version is in force. For the first version, such a refusal therefore means that it is in force.
 bool isInForce(OperatorsClient &client, const wire::Endpoint &server, std::uint64_t version)
 {
-    constexpr std::uint64_t First = 1;
+    constexpr std::uint64_t FirstVersion = 1;
     const auto status = client.status(server);
     if (!status)
-        return version == First && status.error().refusal.error.kind == ErrorKind::Unauthenticated;
+        return version == FirstVersion
+            && status.error().refusal.error.kind == ErrorKind::Unauthenticated;
     return status->settingsVersion >= version;
 }
 
-/// The servers that don't have the version in force when the time for it is over.
+/// Waits until every server has the version in force. Returns the servers that don't have it in
+/// force when the time is over.
 std::vector<wire::Endpoint> waitForAll(OperatorsClient &client, std::uint64_t version,
-                                       std::chrono::milliseconds longest)
+                                       std::chrono::milliseconds timeout)
 {
     using std::chrono::steady_clock;
     constexpr auto Pause = std::chrono::milliseconds(200);
-    const auto end = steady_clock::now() + longest;
+    const auto end = steady_clock::now() + timeout;
     std::vector<wire::Endpoint> behind = client.servers();
     while (true) {
         std::erase_if(behind, [&](const wire::Endpoint &server) {
@@ -60,98 +62,102 @@
     }
 }
 
-ExitCode waitIfAsked(const Invocation &run, OperatorsClient &client, std::uint64_t version)
+ExitCode waitIfRequested(const Invocation &invocation, OperatorsClient &client,
+                         std::uint64_t version)
 {
-    if (!run.options.wait)
+    if (!invocation.options.wait)
         return ExitCode::Ok;
     const std::vector<wire::Endpoint> behind =
-        waitForAll(client, version, run.options.inForceWithin);
+        waitForAll(client, version, invocation.options.inForceWithin);
     for (const wire::Endpoint &server : behind)
-        run.err << "accepted, but not yet in force at " << server.toString()
-                << "; see snipestallctl status\n";
+        invocation.err << "accepted, but not yet in force at " << server.toString()
+                       << "; see snipestallctl status\n";
     return behind.empty() ? ExitCode::Ok : ExitCode::NotInForce;
 }
 
-ExitCode send(const Invocation &run, OperatorsClient &client, peer::SettingsChange change)
+ExitCode send(const Invocation &invocation, OperatorsClient &client, peer::SettingsChange change)
 {
-    change.id = run.options.changeId.empty() ? newChangeId() : run.options.changeId;
+    change.id = invocation.options.changeId.empty() ? newChangeId() : invocation.options.changeId;
     if (change.reason.empty())
-        change.reason = run.options.reason;
+        change.reason = invocation.options.reason;
     const auto accepted = client.change(change);
     if (!accepted)
-        return report(run, withWayOn(accepted.error(), change.id));
+        return report(invocation, withRetryHint(accepted.error(), change.id));
     const std::string version = std::to_string(accepted->version);
     const TextTable table { { "VERSION", "CHANGE" }, { { version, change.id } } };
     const json::object content { { "version", accepted->version },
                                  { "hash", accepted->hash },
                                  { "change_id", change.id } };
-    print(run.out, run.options.output, table, content);
-    return waitIfAsked(run, client, accepted->version);
+    print(invocation.out, invocation.options.output, table, content);
+    return waitIfRequested(invocation, client, accepted->version);
 }
 
-/// The version that the operator saw: the one named, or else the newest.
-Outcome<std::uint64_t> baseOf(const Invocation &run, OperatorsClient &client)
+/// The version that the change is based on: the one of --base_version, or else the newest.
+Outcome<std::uint64_t> baseVersionOf(const Invocation &invocation, OperatorsClient &client)
 {
-    if (run.options.baseVersion)
-        return *run.options.baseVersion;
+    if (invocation.options.baseVersion)
+        return *invocation.options.baseVersion;
     const auto newest = client.settings();
     if (!newest)
         return tl::unexpected(newest.error());
     return newest->document.version;
 }
 
-ExitCode sendEdits(const Invocation &run, std::vector<settings::Edit> edits)
+ExitCode sendEdits(const Invocation &invocation, std::vector<settings::Edit> edits)
 {
-    OperatorsClient client = clientFor(run.options);
-    const auto base = baseOf(run, client);
+    OperatorsClient client = clientFor(invocation.options);
+    const auto base = baseVersionOf(invocation, client);
     if (!base)
-        return report(run, base.error());
+        return report(invocation, base.error());
     peer::SettingsChange change;
     change.baseVersion = *base;
     change.edits = std::move(edits);
-    return send(run, client, std::move(change));
+    return send(invocation, client, std::move(change));
 }
 
-ExitCode nothingToChange(const Invocation &run, std::uint64_t version)
+ExitCode reportNoChange(const Invocation &invocation, std::uint64_t version)
 {
-    run.err << "nothing to change: version " << version << " says the same\n";
+    invocation.err << "nothing to change: version " << version << " already has this content\n";
     return ExitCode::Ok;
 }
 
-ExitCode sendFirst(const Invocation &run, OperatorsClient &client, const std::string &yaml)
+ExitCode sendFirstDocument(const Invocation &invocation, OperatorsClient &client,
+                           const std::string &yaml)
 {
     peer::SettingsChange change;
     change.yaml = yaml;
-    return send(run, client, std::move(change));
+    return send(invocation, client, std::move(change));
 }
 
-/// Sends what leads from one version to a tree.
-ExitCode sendDifference(const Invocation &run, OperatorsClient &client, const ReadVersion &base,
-                        const settings::Tree &wanted, const std::string &reason)
+/// Sends the edits that turn the base version into the wanted tree.
+ExitCode sendDifference(const Invocation &invocation, OperatorsClient &client,
+                        const SettingsVersion &base, const settings::Tree &wanted,
+                        const std::string &reason)
 {
     const auto tree = base.tree();
     if (!tree)
-        return report(run, tree.error());
+        return report(invocation, tree.error());
     peer::SettingsChange change;
     change.baseVersion = base.version;
-    change.reason = run.options.reason.empty() ? reason : run.options.reason;
+    change.reason = invocation.options.reason.empty() ? reason : invocation.options.reason;
     change.edits = settings::editsBetween(*tree, wanted);
     if (change.edits.empty())
-        return nothingToChange(run, base.version);
-    return send(run, client, std::move(change));
+        return reportNoChange(invocation, base.version);
+    return send(invocation, client, std::move(change));
 }
 
-constexpr std::string_view Operators = "operators/";
+constexpr std::string_view OperatorsPrefix = "operators/";
 
 bool isKeyPath(std::string_view path)
 {
-    return path.starts_with(Operators) || path.ends_with("/key_hashes");
+    return path.starts_with(OperatorsPrefix) || path.ends_with("/key_hashes");
 }
 
-// A key that has leaked is taken out of the settings, and weeks later a limit is rolled back. If
-// the old version came back whole, the leaked key would open the door again, unseen. So a rollback
-// leaves who may enter as it is now; a customer that comes back has no key until it is given one.
-settings::Document withKeysOf(const settings::Document &now, settings::Document old)
+// Keeps the current operators and keys in a rollback. If a leaked key was removed from the settings
+// and a limit is rolled back weeks later, restoring the old version as a whole would make the
+// leaked key valid again without anyone noticing. A customer that the rollback restores has no key
+// until it is given one.
+settings::Document withCurrentKeys(const settings::Document &now, settings::Document old)
 {
     std::erase_if(old.values, [](const auto &entry) { return isKeyPath(entry.first); });
     std::erase_if(old.entities, [](const std::string &path) { return isKeyPath(path); });
@@ -160,98 +166,102 @@
             old.entities.insert(entity);
     }
     for (const auto &[path, value] : now.values) {
-        const std::string holder = path.substr(0, path.rfind('/'));
-        if (isKeyPath(path) && old.has(holder))
+        const std::string parent = path.substr(0, path.rfind('/'));
+        if (isKeyPath(path) && old.has(parent))
             old.values.emplace(path, value);
     }
     return old;
 }
 
-/// What a rollback is to lead to.
-Outcome<settings::Tree> rollbackTarget(const Invocation &run, const ReadVersion &newest,
-                                       const ReadVersion &old)
+/// The settings that a rollback should result in.
+Outcome<settings::Tree> rollbackTarget(const Invocation &invocation, const SettingsVersion &newest,
+                                       const SettingsVersion &old)
 {
     auto content = old.tree();
-    if (!content || run.options.withKeys)
+    if (!content || invocation.options.withKeys)
         return content;
     const auto now = newest.tree();
     if (!now)
         return now;
-    auto wanted = settings::Tree::check(withKeysOf(now->document(), content->document()));
+    auto wanted = settings::Tree::check(withCurrentKeys(now->document(), content->document()));
     if (wanted)
         return std::move(*wanted);
-    Failure failure = Failure::of(ExitCode::BadInput, ErrorKind::InvalidArgument,
-                                  "the old version does not go with today's keys; use --with_keys "
-                                  "or edit the document");
+    Failure failure =
+        Failure::of(ExitCode::BadInput, ErrorKind::InvalidArgument,
+                    "the old version is not valid with the current keys; use --with_keys "
+                    "or edit the document");
     failure.refusal.faults = std::move(wanted.error());
     return tl::unexpected(std::move(failure));
 }
 
 } // namespace
 
-ExitCode runSet(const Invocation &run)
+ExitCode runSet(const Invocation &invocation)
 {
-    if (run.arguments.size() % 2 != 0)
-        return reportBadInput(run, "give pairs: set PATH VALUE [PATH VALUE...]");
+    if (invocation.arguments.size() % 2 != 0)
+        return reportBadInput(invocation,
+                              "arguments must be pairs: set PATH VALUE [PATH VALUE...]");
     std::vector<settings::Edit> edits;
-    for (std::size_t i = 0; i < run.arguments.size(); i += 2)
-        edits.push_back({ run.arguments[i], run.arguments[i + 1] });
-    return sendEdits(run, std::move(edits));
+    for (std::size_t i = 0; i < invocation.arguments.size(); i += 2)
+        edits.push_back({ invocation.arguments[i], invocation.arguments[i + 1] });
+    return sendEdits(invocation, std::move(edits));
 }
 
-ExitCode runUnset(const Invocation &run)
+ExitCode runUnset(const Invocation &invocation)
 {
     std::vector<settings::Edit> edits;
-    edits.reserve(run.arguments.size());
-    for (const std::string &path : run.arguments)
+    edits.reserve(invocation.arguments.size());
+    for (const std::string &path : invocation.arguments)
         edits.push_back({ path, std::nullopt });
-    return sendEdits(run, std::move(edits));
+    return sendEdits(invocation, std::move(edits));
 }
 
-// Sending the file as a whole would put back whatever another operator changed since it was read.
-// So only what the file changes is sent, against the version in its first line.
-ExitCode runApply(const Invocation &run)
+// Sending the file as a whole would revert whatever another operator changed since the file was
+// read. So only the differences between the file and the version in its first line are sent.
+ExitCode runApply(const Invocation &invocation)
 {
-    const auto text = readFile(run.options);
+    const auto text = readFile(invocation.options);
     if (!text)
-        return report(run, text.error());
+        return report(invocation, text.error());
     const auto wanted = settings::Tree::parse(*text);
     if (!wanted)
-        return reportFaults(run, wanted.error());
-    OperatorsClient client = clientFor(run.options);
+        return reportFaults(invocation, wanted.error());
+    OperatorsClient client = clientFor(invocation.options);
     const auto newest = readVersion(client, std::nullopt);
     if (!newest)
-        return report(run, newest.error());
+        return report(invocation, newest.error());
     if (newest->version == 0)
-        return sendFirst(run, client, *text);
-    const auto seen = run.options.baseVersion ? run.options.baseVersion : versionLine(*text);
+        return sendFirstDocument(invocation, client, *text);
+    const auto seen =
+        invocation.options.baseVersion ? invocation.options.baseVersion : parseVersionLine(*text);
     if (!seen || *seen == newest->version)
-        return sendDifference(run, client, *newest, *wanted, "");
+        return sendDifference(invocation, client, *newest, *wanted, "");
     const auto base = readVersion(client, seen);
     if (!base)
-        return report(run, base.error());
-    return sendDifference(run, client, *base, *wanted, "");
+        return report(invocation, base.error());
+    return sendDifference(invocation, client, *base, *wanted, "");
 }
 
-ExitCode runRollback(const Invocation &run)
+ExitCode runRollback(const Invocation &invocation)
 {
     std::uint64_t version = 0;
     try {
-        version = std::stoull(run.arguments.front());
+        version = std::stoull(invocation.arguments.front());
     } catch (const std::exception &) {
-        return reportBadInput(run, "a version is a whole number; see snipestallctl history");
+        return reportBadInput(invocation,
+                              "the version must be a whole number; see snipestallctl history");
     }
-    OperatorsClient client = clientFor(run.options);
+    OperatorsClient client = clientFor(invocation.options);
     const auto old = readVersion(client, version);
     if (!old)
-        return report(run, old.error());
-    const auto newest = readVersion(client, run.options.baseVersion);
+        return report(invocation, old.error());
+    const auto newest = readVersion(client, invocation.options.baseVersion);
     if (!newest)
-        return report(run, newest.error());
-    const auto wanted = rollbackTarget(run, *newest, *old);
+        return report(invocation, newest.error());
+    const auto wanted = rollbackTarget(invocation, *newest, *old);
     if (!wanted)
-        return report(run, wanted.error());
-    return sendDifference(run, client, *newest, *wanted,
+        return report(invocation, wanted.error());
+    return sendDifference(invocation, client, *newest, *wanted,
                           "back to the content of version " + std::to_string(version));
 }
 
--- a/apps/snipestallctl/commands_local.cpp
+++ b/apps/snipestallctl/commands_local.cpp
@@ -18,38 +18,38 @@
 
 namespace snipestall::ctl {
 
-ExitCode runExplain(const Invocation &run)
+ExitCode runExplain(const Invocation &invocation)
 {
-    const auto text = settings::explainPath(run.arguments.front());
+    const auto text = settings::explainPath(invocation.arguments.front());
     if (!text)
-        return reportBadInput(run, text.error().message);
-    run.out << *text;
+        return reportBadInput(invocation, text.error().message);
+    invocation.out << *text;
     return ExitCode::Ok;
 }
 
-ExitCode runCheck(const Invocation &run)
+ExitCode runCheck(const Invocation &invocation)
 {
-    const auto text = readFile(run.options);
+    const auto text = readFile(invocation.options);
     if (!text)
-        return report(run, text.error());
+        return report(invocation, text.error());
     const auto tree = settings::Tree::parse(*text);
     if (!tree)
-        return reportFaults(run, tree.error());
-    run.out << "no faults; hash " << tree->hash() << '\n';
+        return reportFaults(invocation, tree.error());
+    invocation.out << "no faults; hash " << tree->hash() << '\n';
     return ExitCode::Ok;
 }
 
-ExitCode runNewKey(const Invocation &run)
+ExitCode runNewKey(const Invocation &invocation)
 {
     const std::string key = newKey();
     const std::string hash = settings::sha256Hex(key);
     const TextTable table { { "KEY", "HASH" }, { { key, hash } } };
     const boost::json::object content { { "key", key }, { "hash", hash } };
-    print(run.out, run.options.output, table, content);
+    print(invocation.out, invocation.options.output, table, content);
     return ExitCode::Ok;
 }
 
-ExitCode runReference(const Invocation &run)
+ExitCode runReference(const Invocation &invocation)
 {
     struct Page
     {
@@ -59,40 +59,42 @@
     constexpr std::array Pages { Page { "settings", settings::referencePage },
                                  Page { "metrics", admin::metricsPage },
                                  Page { "events", events::referencePage } };
-    const std::string wanted = run.arguments.empty() ? "settings" : run.arguments.front();
+    const std::string wanted =
+        invocation.arguments.empty() ? "settings" : invocation.arguments.front();
     for (const Page &page : Pages) {
         if (page.name == wanted) {
-            run.out << page.text();
+            invocation.out << page.text();
             return ExitCode::Ok;
         }
     }
-    return reportBadInput(run, "no page '" + wanted + "'; there are settings, metrics and events");
+    return reportBadInput(
+        invocation, "unknown page '" + wanted + "'; the pages are settings, metrics and events");
 }
 
-ExitCode runCompletion(const Invocation &run)
+ExitCode runCompletion(const Invocation &invocation)
 {
-    if (run.arguments.front() != "bash")
-        return reportBadInput(run, "only bash is known: snipestallctl completion bash");
+    if (invocation.arguments.front() != "bash")
+        return reportBadInput(invocation, "only bash is supported: snipestallctl completion bash");
     std::string words;
     for (const Command &command : commands())
         words.append(command.name).append(" ");
     std::string flags;
     for (const FlagHelp &flag : flagHelp())
         flags.append(flag.name.size() == 1 ? "-" : "--").append(flag.name).append(" ");
-    run.out << "_snipestallctl() {\n"
-               "  local word=${COMP_WORDS[COMP_CWORD]}\n"
-               "  local before=${COMP_WORDS[COMP_CWORD-1]}\n"
-               "  if [ \"$before\" = -f ]; then COMPREPLY=($(compgen -f -- \"$word\"));\n"
-               "  elif [ \"$before\" = --output ]; then\n"
-               "    COMPREPLY=($(compgen -W 'table json yaml' -- \"$word\"));\n"
-               "  elif [[ $word == -* ]]; then COMPREPLY=($(compgen -W '"
-            << flags
-            << "' -- \"$word\"));\n"
-               "  else COMPREPLY=($(compgen -W '"
-            << words
-            << "' -- \"$word\")); fi\n"
-               "}\n"
-               "complete -F _snipestallctl snipestallctl\n";
+    invocation.out << "_snipestallctl() {\n"
+                      "  local word=${COMP_WORDS[COMP_CWORD]}\n"
+                      "  local before=${COMP_WORDS[COMP_CWORD-1]}\n"
+                      "  if [ \"$before\" = -f ]; then COMPREPLY=($(compgen -f -- \"$word\"));\n"
+                      "  elif [ \"$before\" = --output ]; then\n"
+                      "    COMPREPLY=($(compgen -W 'table json yaml' -- \"$word\"));\n"
+                      "  elif [[ $word == -* ]]; then COMPREPLY=($(compgen -W '"
+                   << flags
+                   << "' -- \"$word\"));\n"
+                      "  else COMPREPLY=($(compgen -W '"
+                   << words
+                   << "' -- \"$word\")); fi\n"
+                      "}\n"
+                      "complete -F _snipestallctl snipestallctl\n";
     return ExitCode::Ok;
 }
 
--- a/apps/snipestallctl/commands_read.cpp
+++ b/apps/snipestallctl/commands_read.cpp
@@ -22,13 +22,13 @@
     return wanted.empty() || path == wanted || path.starts_with(wanted + "/");
 }
 
-ExitCode showEffective(const Invocation &run, const std::string &wanted)
+ExitCode showEffective(const Invocation &invocation, const std::string &wanted)
 {
-    OperatorsClient client = clientFor(run.options);
-    const auto effective =
-        client.effective(run.options.dataCentre, run.options.customer, run.options.service);
+    OperatorsClient client = clientFor(invocation.options);
+    const auto effective = client.effective(
+        invocation.options.dataCentre, invocation.options.customer, invocation.options.service);
     if (!effective)
-        return report(run, effective.error());
+        return report(invocation, effective.error());
     TextTable table { { "PATH", "VALUE", "FROM" }, {} };
     json::array values;
     for (const admin::EffectiveValue &value : effective->values) {
@@ -41,25 +41,26 @@
     const json::object content { { "version", effective->version },
                                  { "data_centre", effective->dataCentre },
                                  { "values", std::move(values) } };
-    print(run.out, run.options.output, table, content);
+    print(invocation.out, invocation.options.output, table, content);
     return ExitCode::Ok;
 }
 
-/// A whole document that `apply` takes back as it is.
-ExitCode printDocument(const Invocation &run, const ReadVersion &read)
+/// Prints the whole settings as a document that `apply` accepts unchanged.
+ExitCode printDocument(const Invocation &invocation, const SettingsVersion &read)
 {
     const auto tree = read.tree();
     if (!tree)
-        return report(run, tree.error());
-    run.out << "# version " << read.version << '\n' << tree->toReadableYaml();
+        return report(invocation, tree.error());
+    invocation.out << "# version " << read.version << '\n' << tree->toReadableYaml();
     return ExitCode::Ok;
 }
 
-ExitCode showTree(const Invocation &run, const ReadVersion &read, const std::string &wanted)
+ExitCode showTree(const Invocation &invocation, const SettingsVersion &read,
+                  const std::string &wanted)
 {
     const auto tree = read.tree();
     if (!tree)
-        return report(run, tree.error());
+        return report(invocation, tree.error());
     TextTable table { { "PATH", "VALUE" }, {} };
     json::object values;
     for (const auto &[path, value] : tree->document().values) {
@@ -69,96 +70,98 @@
         values[path] = settings::toText(value);
     }
     if (table.rows.empty() && !tree->document().has(wanted))
-        return report(run,
+        return report(invocation,
                       Failure::of(ExitCode::BadInput, ErrorKind::NotFound,
                                   "nothing is set under '" + wanted
-                                      + "'; see what it means with snipestallctl explain "
-                                      + wanted));
+                                      + "'; for its meaning, see snipestallctl explain " + wanted));
     const json::object content { { "version", read.version },
                                  { "from_table", read.fromTable },
                                  { "values", std::move(values) } };
-    print(run.out, run.options.output, table, content);
+    print(invocation.out, invocation.options.output, table, content);
     return ExitCode::Ok;
 }
 
-Outcome<admin::AuditMessage> readAudit(const Invocation &run)
+Outcome<admin::AuditMessage> readAudit(const Invocation &invocation)
 {
-    OperatorsClient client = clientFor(run.options);
-    return client.audit(run.options.since, run.options.path, run.options.who, run.options.limit);
+    OperatorsClient client = clientFor(invocation.options);
+    return client.audit(invocation.options.since, invocation.options.path, invocation.options.who,
+                        invocation.options.limit);
 }
 
-void noteOlder(const Invocation &run, const admin::AuditMessage &audit)
+void noteOmittedChanges(const Invocation &invocation, const admin::AuditMessage &audit)
 {
     if (audit.before > 0)
-        run.err << "older changes were left out; narrow the question or raise --limit\n";
+        invocation.err << "older changes are not shown; narrow the filters or raise --limit\n";
 }
 
 } // namespace
 
-ExitCode runGet(const Invocation &run)
+ExitCode runGet(const Invocation &invocation)
 {
-    const std::string wanted = run.arguments.empty() ? "" : run.arguments.front();
-    if (run.options.effective)
-        return showEffective(run, wanted);
-    OperatorsClient client = clientFor(run.options);
-    const auto read = readVersion(client, run.options.atVersion);
+    const std::string wanted = invocation.arguments.empty() ? "" : invocation.arguments.front();
+    if (invocation.options.effective)
+        return showEffective(invocation, wanted);
+    OperatorsClient client = clientFor(invocation.options);
+    const auto read = readVersion(client, invocation.options.atVersion);
     if (!read)
-        return report(run, read.error());
+        return report(invocation, read.error());
     if (!read->fromTable)
-        run.err << "the platform's table does not answer; this is what one instance has in force\n";
+        invocation.err << "the platform's table does not answer; these are the settings that one "
+                          "instance has in force\n";
     if (read->version == 0) {
-        run.err << "there are no settings yet; begin with snipestallctl apply -f FILE\n";
+        invocation.err << "there are no settings yet; start with snipestallctl apply -f FILE\n";
         return ExitCode::Ok;
     }
-    if (run.options.output == OutputFormat::Yaml && wanted.empty())
-        return printDocument(run, *read);
-    return showTree(run, *read, wanted);
+    if (invocation.options.output == OutputFormat::Yaml && wanted.empty())
+        return printDocument(invocation, *read);
+    return showTree(invocation, *read, wanted);
 }
 
-ExitCode runDiff(const Invocation &run)
+ExitCode runDiff(const Invocation &invocation)
 {
-    const auto text = readFile(run.options);
+    const auto text = readFile(invocation.options);
     if (!text)
-        return report(run, text.error());
+        return report(invocation, text.error());
     const auto file = settings::Tree::parse(*text);
     if (!file)
-        return reportFaults(run, file.error());
-    OperatorsClient client = clientFor(run.options);
-    const auto read = readVersion(client, run.options.atVersion);
+        return reportFaults(invocation, file.error());
+    OperatorsClient client = clientFor(invocation.options);
+    const auto read = readVersion(client, invocation.options.atVersion);
     if (!read)
-        return report(run, read.error());
+        return report(invocation, read.error());
     if (read->version == 0) {
-        run.err << "there are no settings yet; the whole file would be new\n";
+        invocation.err << "there are no settings yet; the whole file would be new\n";
         return ExitCode::Ok;
     }
     const auto tree = read->tree();
     if (!tree)
-        return report(run, tree.error());
+        return report(invocation, tree.error());
     const auto found = settings::differences(*tree, *file);
-    print(run.out, run.options.output, tableOf(found), jsonOf(found));
+    print(invocation.out, invocation.options.output, tableOf(found), jsonOf(found));
     return ExitCode::Ok;
 }
 
-ExitCode runHistory(const Invocation &run)
+ExitCode runHistory(const Invocation &invocation)
 {
-    const auto audit = readAudit(run);
+    const auto audit = readAudit(invocation);
     if (!audit)
-        return report(run, audit.error());
+        return report(invocation, audit.error());
     TextTable table { { "VERSION", "TIME", "WHO", "PATHS", "REASON" }, {} };
     for (const peer::AuditRecord &record : audit->records)
         table.rows.push_back({ std::to_string(record.toVersion), admin::formatTime(record.at),
                                record.who, std::to_string(record.differences.size()),
                                record.reason });
-    print(run.out, run.options.output, table, json::parse(admin::encodeAudit(*audit)));
-    noteOlder(run, *audit);
+    print(invocation.out, invocation.options.output, table,
+          json::parse(admin::encodeAudit(*audit)));
+    noteOmittedChanges(invocation, *audit);
     return ExitCode::Ok;
 }
 
-ExitCode runAudit(const Invocation &run)
+ExitCode runAudit(const Invocation &invocation)
 {
-    const auto audit = readAudit(run);
+    const auto audit = readAudit(invocation);
     if (!audit)
-        return report(run, audit.error());
+        return report(invocation, audit.error());
     TextTable table { { "VERSION", "TIME", "WHO", "PATH", "BEFORE", "AFTER" }, {} };
     for (const peer::AuditRecord &record : audit->records) {
         const std::string version = std::to_string(record.toVersion);
@@ -168,8 +171,9 @@
         if (record.differences.empty())
             table.rows.push_back({ version, time, record.who, "(first document)", "", "" });
     }
-    print(run.out, run.options.output, table, json::parse(admin::encodeAudit(*audit)));
-    noteOlder(run, *audit);
+    print(invocation.out, invocation.options.output, table,
+          json::parse(admin::encodeAudit(*audit)));
+    noteOmittedChanges(invocation, *audit);
     return ExitCode::Ok;
 }
 
--- a/apps/snipestallctl/commands_status.cpp
+++ b/apps/snipestallctl/commands_status.cpp
@@ -28,7 +28,7 @@
     return std::to_string(time.count()) + "ms";
 }
 
-/// One row for each thing that an instance tells of.
+/// Adds one row for the instance and for each peer, backend server and queue that it reports.
 void addRows(TextTable &table, const admin::InstanceStatus &status)
 {
     const std::string &name = status.instance;
@@ -52,15 +52,15 @@
 
 } // namespace
 
-// Unlike the other commands, this one asks every server that is named: an operator who looks for
+// Unlike the other commands, this one queries every server in --server: an operator who looks for
 // the instance that misbehaves must not be shown another one in its place.
-ExitCode runStatus(const Invocation &run)
+ExitCode runStatus(const Invocation &invocation)
 {
-    OperatorsClient client = clientFor(run.options);
+    OperatorsClient client = clientFor(invocation.options);
     TextTable table { { "WHAT", "NAME", "DATA CENTRE", "STATE", "MORE" }, {} };
     json::array instances;
     json::array unreachable;
-    Failure last;
+    Failure lastFailure;
     for (const wire::Endpoint &server : client.servers()) {
         const auto status = client.status(server);
         if (status) {
@@ -68,29 +68,31 @@
             instances.push_back(json::parse(admin::encodeStatus(*status)));
             continue;
         }
-        last = status.error();
-        const std::string &why = last.refusal.error.message;
+        lastFailure = status.error();
+        const std::string &why = lastFailure.refusal.error.message;
         table.rows.push_back({ "instance", server.toString(), "", "no answer", why });
         unreachable.push_back(json::object { { "server", server.toString() }, { "why", why } });
     }
     if (instances.empty())
-        return report(run, last);
+        return report(invocation, lastFailure);
     const json::object content { { "instances", std::move(instances) },
                                  { "no_answer", std::move(unreachable) } };
-    print(run.out, run.options.output, table, content);
+    print(invocation.out, invocation.options.output, table, content);
     return ExitCode::Ok;
 }
 
-ExitCode runDrain(const Invocation &run)
+ExitCode runDrain(const Invocation &invocation)
 {
-    if (run.options.servers.size() != 1)
-        return reportBadInput(run, "drain takes exactly one --server, the instance to drain");
-    OperatorsClient client = clientFor(run.options);
-    const auto status = client.drain(run.options.servers.front());
+    if (invocation.options.servers.size() != 1)
+        return reportBadInput(invocation,
+                              "drain takes exactly one --server, the instance to drain");
+    OperatorsClient client = clientFor(invocation.options);
+    const auto status = client.drain(invocation.options.servers.front());
     if (!status)
-        return report(run, status.error());
-    run.out << status->instance
-            << " drains: it accepts no new work and stops when its requests have ended or moved\n";
+        return report(invocation, status.error());
+    invocation.out
+        << status->instance
+        << " is draining: it accepts no new work and stops when its requests have ended or moved\n";
     return ExitCode::Ok;
 }
 
--- a/apps/snipestallctl/docs_test.cpp
+++ b/apps/snipestallctl/docs_test.cpp
@@ -1,7 +1,7 @@
 #include "command.hpp"
 #include "flags.hpp"
 
-#include "test_fleet.hpp"
+#include "operators_api_fixture.hpp"
 
 #include <gflags/gflags.h>
 #include <gtest/gtest.h>
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr std::string_view Prompt = "    $ ";
-constexpr std::string_view EndsWith = "# ends with ";
+constexpr std::string_view ExitCodeMark = "# ends with ";
 
-/// One command as the page shows it.
-struct Shown
+/// One command line shown on the page and its expected exit code.
+struct ShownCommand
 {
     std::string line;
     std::vector<std::string> words;
@@ -25,13 +25,14 @@
     int code = 0;
 };
 
-/// Splits like a shell, as far as the page needs it: quotes, a redirection, a comment.
-Shown parse(const std::string &line)
+/// Splits a line as a shell does, but supports only what the page uses: quotes, one redirection and
+/// a comment.
+ShownCommand parse(const std::string &line)
 {
-    Shown shown { line, {}, {}, 0 };
-    const std::size_t ends = line.find(EndsWith);
+    ShownCommand shown { line, {}, {}, 0 };
+    const std::size_t ends = line.find(ExitCodeMark);
     if (ends != std::string::npos)
-        shown.code = std::stoi(line.substr(ends + EndsWith.size()));
+        shown.code = std::stoi(line.substr(ends + ExitCodeMark.size()));
     std::istringstream in(line.substr(0, line.find(" #")));
     std::string word;
     while (in >> std::ws && in.good()) {
@@ -52,10 +53,10 @@
     return shown;
 }
 
-std::vector<Shown> commandsOf(const std::string &page)
+std::vector<ShownCommand> commandsOf(const std::string &page)
 {
     std::ifstream file(page);
-    std::vector<Shown> found;
+    std::vector<ShownCommand> found;
     for (std::string line; std::getline(file, line);) {
         if (line.starts_with(Prompt))
             found.push_back(parse(line.substr(Prompt.size())));
@@ -63,10 +64,10 @@
     return found;
 }
 
-class DocsTest : public TestFleet
+class DocsTest : public OperatorsApiFixture
 {
 protected:
-    ExitCode runAsShown(const Shown &shown)
+    ExitCode runAsShown(const ShownCommand &shown)
     {
         const gflags::FlagSaver untouched;
         std::vector<std::string> words = shown.words;
@@ -82,7 +83,7 @@
         options.servers = m_options.servers;
         options.key = m_options.key;
         if (!options.file.empty())
-            options.file = whereIs(options.file);
+            options.file = resolvePath(options.file);
         std::ostringstream out;
         const ExitCode code = ctl::run(line->words, options, out, m_messages);
         if (!shown.redirect.empty()) {
@@ -92,7 +93,7 @@
         return code;
     }
 
-    static std::string whereIs(const std::string &name)
+    static std::string resolvePath(const std::string &name)
     {
         const std::string inRepository = SNIPESTALL_SOURCE_DIR "/" + name;
         return std::ifstream(inRepository) ? inRepository : testing::TempDir() + name;
@@ -112,12 +113,12 @@
 {
     const auto commands = commandsOf(SNIPESTALL_SOURCE_DIR "/docs/snipestallctl.md");
     ASSERT_GT(commands.size(), 25U);
-    for (const Shown &shown : commands) {
+    for (const ShownCommand &shown : commands) {
         m_messages.str("");
         EXPECT_EQ(static_cast<int>(runAsShown(shown)), shown.code) << shown.line << '\n'
                                                                    << m_messages.str();
         if (shown.line.find(" apply ") != std::string::npos)
-            m_options.key = AylasKey;
+            m_options.key = AylaKey;
     }
 }
 
--- a/apps/snipestallctl/flags.cpp
+++ b/apps/snipestallctl/flags.cpp
@@ -8,38 +8,40 @@
 #include <string_view>
 
 DEFINE_string(server, "127.0.0.1:7080",
-              "operators' listeners, IP:PORT[,IP:PORT]; each is tried in turn");
+              "operators' listeners as IP:PORT[,IP:PORT], tried in this order");
 DEFINE_string(key, "",
-              "operator's key; better in the environment as SNIPESTALL_OPERATOR_KEY, since other "
-              "users can see command lines");
-DEFINE_string(output, "table", "table, json or yaml");
-DEFINE_string(reason, "", "why the change is made; stands in the audit trail");
-DEFINE_string(f, "", "settings file; - reads standard input");
-DEFINE_string(base_version, "", "version that the change is made against; the newest if not given");
-DEFINE_string(change_id, "", "repeats an earlier change whose outcome is unknown");
-DEFINE_bool(wait, false, "after a change, wait until every server named has it in force");
-DEFINE_bool(with_keys, false, "a rollback takes the old version's operators and keys too");
-DEFINE_bool(effective, false, "show values in force and the level each comes from");
-DEFINE_string(at, "", "version to show in place of the newest");
+              "operator's key; prefer the environment variable SNIPESTALL_OPERATOR_KEY, because "
+              "other users can see command lines");
+DEFINE_string(output, "table", "output format: table, json or yaml");
+DEFINE_string(reason, "", "reason for the change, kept in the audit trail");
+DEFINE_string(f, "", "settings file; - for standard input");
+DEFINE_string(base_version, "", "version that the change is based on; default: the newest");
+DEFINE_string(change_id, "", "id of an earlier change with unknown outcome, to repeat it safely");
+DEFINE_bool(wait, false, "after a change, wait until it is in force at every server in --server");
+DEFINE_bool(with_keys, false, "let a rollback restore the old version's operators and keys too");
+DEFINE_bool(effective, false, "show the values in force and the level that each comes from");
+DEFINE_string(at, "", "version to show instead of the newest");
 DEFINE_string(data_centre, "", "data centre whose values are shown");
 DEFINE_string(customer, "", "customer whose values are shown");
 DEFINE_string(service, "", "service whose values are shown");
-DEFINE_string(since, "", "oldest time, as 2026-12-02T20:37:00Z or an age such as 2h");
-DEFINE_string(path, "", "only changes that touch this path");
-DEFINE_string(who, "", "only changes of this operator");
-DEFINE_string(limit, "50", "rows to show, at most 1000");
+DEFINE_string(
+    since, "",
+    "show changes since this time, such as 2026-12-02T20:37:00Z, or this age, such as 2h");
+DEFINE_string(path, "", "show only changes that touch this path");
+DEFINE_string(who, "", "show only changes by this operator");
+DEFINE_string(limit, "50", "number of rows to show, at most 1000");
 DECLARE_bool(help);
 
 namespace snipestall::ctl {
 namespace {
 
 constexpr const char *KeyVariable = "SNIPESTALL_OPERATOR_KEY";
-constexpr std::string_view OwnFile = "flags.cpp";
+constexpr std::string_view FlagsFile = "flags.cpp";
 
-tl::unexpected<Error> wrongFlag(const std::string &name, const std::string &remedy)
+tl::unexpected<Error> invalidFlag(const std::string &name, const std::string &problem)
 {
     return fail(ErrorKind::InvalidArgument,
-                "--" + name + ": " + remedy + "; see snipestallctl --help");
+                "--" + name + ": " + problem + "; see snipestallctl --help");
 }
 
 bool isFlag(std::string_view argument)
@@ -47,9 +49,10 @@
     return argument.size() > 1 && argument.front() == '-' && argument != "--";
 }
 
-// The library ends the process by itself, with 1, when a flag is unknown or lacks its value. Here 1
-// means that a server refused, so a script would take a typing error for a conflict; every flag is
-// therefore looked at before the library sees it.
+// gflags exits with code 1 when a flag is unknown or lacks its value. In this program, 1 means that
+// a server refused the request, so a script would mistake a typing error for a conflict. Every flag
+// is therefore checked before gflags parses it. Returns whether the flag takes the next argument
+// as its value.
 Result<bool> checkFlag(std::string_view argument, bool hasNext)
 {
     std::string name(argument.substr(argument.starts_with("--") ? 2 : 1));
@@ -59,14 +62,14 @@
     name = name.substr(0, equals);
     gflags::CommandLineFlagInfo flag;
     if (!gflags::GetCommandLineFlagInfo(name.c_str(), &flag))
-        return wrongFlag(name, "there is no such flag");
+        return invalidFlag(name, "unknown flag");
     if (flag.type != "bool") {
         if (!hasValue && !hasNext)
-            return wrongFlag(name, "its value is missing");
+            return invalidFlag(name, "missing value");
         return !hasValue;
     }
     if (hasValue && value != "true" && value != "false")
-        return wrongFlag(name, "true or false");
+        return invalidFlag(name, "must be true or false");
     return false;
 }
 
@@ -95,12 +98,12 @@
         const std::size_t comma = rest.find(',');
         const auto endpoint = wire::Endpoint::parse(rest.substr(0, comma));
         if (!endpoint)
-            return wrongFlag("server", endpoint.error().message);
+            return invalidFlag("server", endpoint.error().message);
         servers.push_back(*endpoint);
         rest = comma == std::string_view::npos ? std::string_view() : rest.substr(comma + 1);
     }
     if (servers.empty())
-        return wrongFlag("server", "give IP:PORT[,IP:PORT]");
+        return invalidFlag("server", "must be IP:PORT[,IP:PORT]");
     return servers;
 }
 
@@ -112,7 +115,7 @@
     const char *end = text.data() + text.size();
     const auto [rest, error] = std::from_chars(text.data(), end, number);
     if (error != std::errc {} || rest != end)
-        return wrongFlag(name, "'" + text + "' is no whole number");
+        return invalidFlag(name, "'" + text + "' is not a whole number");
     return std::optional(number);
 }
 
@@ -134,7 +137,7 @@
         if (entry.name == FLAGS_output)
             return entry.format;
     }
-    return wrongFlag("output", "table, json or yaml");
+    return invalidFlag("output", "must be table, json or yaml");
 }
 
 std::string readKey()
@@ -145,7 +148,7 @@
     return fromEnvironment ? fromEnvironment : "";
 }
 
-void readTexts(Options &options)
+void readUncheckedFlags(Options &options)
 {
     options.key = readKey();
     options.reason = FLAGS_reason;
@@ -166,7 +169,7 @@
 Result<Options> readOptions()
 {
     Options options;
-    readTexts(options);
+    readUncheckedFlags(options);
     auto servers = readServers();
     const auto format = readFormat();
     const auto base = readNumber("base_version", FLAGS_base_version);
@@ -211,7 +214,7 @@
     gflags::GetAllFlags(&flags);
     std::vector<FlagHelp> own;
     for (const gflags::CommandLineFlagInfo &flag : flags) {
-        if (std::string_view(flag.filename).ends_with(OwnFile))
+        if (std::string_view(flag.filename).ends_with(FlagsFile))
             own.push_back({ flag.name, flag.description });
     }
     return own;
--- a/apps/snipestallctl/flags.hpp
+++ b/apps/snipestallctl/flags.hpp
@@ -9,24 +9,25 @@
 
 namespace snipestall::ctl {
 
-/// A command line taken apart.
+/// A parsed command line.
 struct CommandLine
 {
-    /// Command and its arguments; flags may stand anywhere between them.
+    /// The command and its arguments. Flags may stand anywhere between them.
     std::vector<std::string> words;
     Options options;
 };
 
-/// InvalidArgument names the flag and what is allowed.
+/// Fails with InvalidArgument; the message names the flag and what is allowed.
 Result<CommandLine> parseCommandLine(int argc, char **argv);
 
+/// A flag's name, without dashes, and its help text.
 struct FlagHelp
 {
     std::string name;
-    std::string meaning;
+    std::string description;
 };
 
-/// The product's own flags, in order of their names.
+/// The flags that snipestallctl itself defines, sorted by name.
 std::vector<FlagHelp> flagHelp();
 
 } // namespace snipestall::ctl
--- a/apps/snipestallctl/test_fleet.hpp
+++ b/apps/snipestallctl/operators_api_fixture.hpp
@@ -21,8 +21,9 @@
 namespace snipestall::ctl {
 
 inline constexpr const char *BootstrapKey = "first-minute-key";
-inline constexpr const char *AylasKey = "example-operator-ayla";
-class OneInstance final : public admin::StatusSource
+inline constexpr const char *AylaKey = "example-operator-ayla";
+/// Reports a fixed status of one instance.
+class FakeStatusSource final : public admin::StatusSource
 {
 public:
     [[nodiscard]] admin::InstanceStatus status() const override
@@ -30,42 +31,43 @@
         admin::InstanceStatus status;
         status.instance = "samsun-1";
         status.dataCentre = "samsun-hall";
-        status.settingsVersion = follows ? follows->version() : 0;
+        status.settingsVersion = settingsKeeper ? settingsKeeper->version() : 0;
         status.queues.push_back({ "language", 2, 5, std::chrono::milliseconds(30) });
         return status;
     }
 
-    /// Whose version is told; none: an instance that stays behind.
-    const peer::SettingsKeeper *follows = nullptr;
+    /// The keeper whose version is reported. If null, version 0 is reported, as by an instance that
+    /// did not receive the change.
+    const peer::SettingsKeeper *settingsKeeper = nullptr;
 };
 
-/// A real operators' API on loopback, over a table in memory.
-class TestFleet : public testing::Test
+/// Fixture with a real operators' API on loopback, over a table in memory.
+class OperatorsApiFixture : public testing::Test
 {
 protected:
-    TestFleet()
+    OperatorsApiFixture()
         : m_server([this](wire::HttpExchange &exchange) { return m_handler(exchange); })
     {
-        admin::AdminApi::Dependencies uses;
-        uses.store = &m_store;
-        uses.keeper = &m_keeper;
-        uses.status = &m_status;
-        uses.clock = &m_clock;
-        uses.metrics = m_metrics->registry();
-        uses.drain = [this] { ++m_drains; };
-        uses.bootstrapKeyHash = settings::sha256Hex(BootstrapKey);
-        m_api = admin::AdminApi::create(std::move(uses)).value();
+        admin::AdminApi::Dependencies dependencies;
+        dependencies.store = &m_store;
+        dependencies.keeper = &m_keeper;
+        dependencies.status = &m_status;
+        dependencies.clock = &m_clock;
+        dependencies.metrics = m_metrics->registry();
+        dependencies.drain = [this] { ++m_drains; };
+        dependencies.bootstrapKeyHash = settings::sha256Hex(BootstrapKey);
+        m_api = admin::AdminApi::create(std::move(dependencies)).value();
         m_handler = m_api->handler();
         m_options.servers = { m_server.endpoint() };
         m_options.key = BootstrapKey;
     }
 
     SystemClock m_clock;
-    OneInstance m_status;
+    FakeStatusSource m_status;
     peer::SettingsKeeper m_keeper { "samsun-hall" };
     std::unique_ptr<admin::Metrics> m_metrics = admin::Metrics::create();
-    boost::asio::io_context m_unused;
-    platform::FakeTableService m_table { m_unused };
+    boost::asio::io_context m_tableIo;
+    platform::FakeTableService m_table { m_tableIo };
     peer::SettingsStore m_store { m_table, m_clock };
     int m_drains = 0;
     std::unique_ptr<admin::AdminApi> m_api;
--- a/apps/snipestallctl/operators_client.cpp
+++ b/apps/snipestallctl/operators_client.cpp
@@ -27,7 +27,7 @@
 constexpr int FirstServerError = 500;
 constexpr int ServiceUnavailable = 503;
 
-/// How a command ends that was answered with an HTTP status other than a success.
+/// The exit code for an HTTP status other than a success.
 ExitCode exitCodeOf(int status)
 {
     constexpr std::array Refusals { Unauthorized, Forbidden, Conflict, TooManyRequests };
@@ -48,15 +48,16 @@
     return Failure::of(exitCodeOf(response.status), ErrorKind::Internal,
                        server.toString() + " answered with HTTP status "
                            + std::to_string(response.status)
-                           + " and no message; is that an operators' listener?");
+                           + " and no message; check that this address is an operators' listener");
 }
 
-/// Whether this answer tells what became of a change of which an earlier answer may be lost.
-bool isSettled(const Failure &failure, bool mayBeIn)
+/// Whether this failure settles the outcome of the change. If the answer to an earlier attempt may
+/// have been lost, a refused key does not: it says nothing about that attempt.
+bool settlesOutcome(const Failure &failure, bool mayBeApplied)
 {
     const bool isWrongKey = failure.refusal.error.kind == ErrorKind::Unauthenticated
         || failure.refusal.error.kind == ErrorKind::PermissionDenied;
-    if (mayBeIn && isWrongKey)
+    if (mayBeApplied && isWrongKey)
         return false;
     return failure.code == ExitCode::Refused || failure.code == ExitCode::BadInput;
 }
@@ -100,14 +101,14 @@
     boost::asio::io_context io;
     wire::HttpClient client { io };
 
-    explicit State(ClientOptions chosen)
-        : options(std::move(chosen))
+    explicit State(ClientOptions clientOptions)
+        : options(std::move(clientOptions))
     { }
 
     Result<HttpResponse> send(const Endpoint &server, HttpRequest request);
-    Outcome<HttpResponse> ask(const Endpoint &server, const std::string &target);
-    Outcome<HttpResponse> askAny(const std::string &target);
-    Outcome<admin::AcceptedMessage> changeOnce(const Endpoint &server, const HttpRequest &request);
+    Outcome<HttpResponse> getFrom(const Endpoint &server, const std::string &target);
+    Outcome<HttpResponse> getFromAny(const std::string &target);
+    Outcome<admin::AcceptedMessage> sendChange(const Endpoint &server, const HttpRequest &request);
 
     template<typename Message>
     Outcome<Message> read(const std::string &target, Result<Message> (*decode)(std::string_view));
@@ -119,7 +120,7 @@
     wire::HttpCallOptions call;
     call.idleTimeout = options.answerTimeout;
     call.freshConnection = true;
-    Result<HttpResponse> result = fail(ErrorKind::Internal, "the call did not end");
+    Result<HttpResponse> result = fail(ErrorKind::Internal, "the call ended without a result");
     boost::asio::co_spawn(io, fetchInto(client, server, std::move(request), call, result),
                           boost::asio::detached);
     io.restart();
@@ -127,7 +128,8 @@
     return result;
 }
 
-Outcome<HttpResponse> OperatorsClient::State::ask(const Endpoint &server, const std::string &target)
+Outcome<HttpResponse> OperatorsClient::State::getFrom(const Endpoint &server,
+                                                      const std::string &target)
 {
     HttpRequest request;
     request.target = target;
@@ -140,27 +142,28 @@
     return std::move(*response);
 }
 
-Outcome<HttpResponse> OperatorsClient::State::askAny(const std::string &target)
+Outcome<HttpResponse> OperatorsClient::State::getFromAny(const std::string &target)
 {
-    Failure last;
+    Failure lastFailure;
     for (const Endpoint &server : options.servers) {
-        auto answer = ask(server, target);
+        auto answer = getFrom(server, target);
         if (answer || answer.error().code == ExitCode::Refused
             || answer.error().code == ExitCode::BadInput)
             return answer;
-        last = std::move(answer.error());
+        lastFailure = std::move(answer.error());
     }
-    return tl::unexpected(std::move(last));
+    return tl::unexpected(std::move(lastFailure));
 }
 
-Outcome<admin::AcceptedMessage> OperatorsClient::State::changeOnce(const Endpoint &server,
+Outcome<admin::AcceptedMessage> OperatorsClient::State::sendChange(const Endpoint &server,
                                                                    const HttpRequest &request)
 {
     const auto response = send(server, request);
     if (!response) {
-        const bool isOut = response.error().kind == ErrorKind::Unavailable;
-        return tl::unexpected(Failure::of(isOut ? ExitCode::Unreachable : ExitCode::OutcomeUnknown,
-                                          response.error().kind, response.error().message));
+        const bool isUnavailable = response.error().kind == ErrorKind::Unavailable;
+        return tl::unexpected(
+            Failure::of(isUnavailable ? ExitCode::Unreachable : ExitCode::OutcomeUnknown,
+                        response.error().kind, response.error().message));
     }
     if (response->status != Ok)
         return tl::unexpected(failureOf(server, *response));
@@ -175,7 +178,7 @@
 Outcome<Message> OperatorsClient::State::read(const std::string &target,
                                               Result<Message> (*decode)(std::string_view))
 {
-    const auto answer = askAny(target);
+    const auto answer = getFromAny(target);
     if (!answer)
         return tl::unexpected(answer.error());
     auto message = decode(answer->body);
@@ -228,7 +231,7 @@
 
 Outcome<admin::InstanceStatus> OperatorsClient::status(const Endpoint &server)
 {
-    const auto answer = m_state->ask(server, "/status");
+    const auto answer = m_state->getFrom(server, "/status");
     if (!answer)
         return tl::unexpected(answer.error());
     auto status = admin::decodeStatus(answer->body);
@@ -245,10 +248,10 @@
     request.target = "/drain";
     const auto response = m_state->send(server, std::move(request));
     if (!response) {
-        const bool didNothing = response.error().kind == ErrorKind::Unavailable;
+        const bool isUnavailable = response.error().kind == ErrorKind::Unavailable;
         return tl::unexpected(Failure::of(
-            didNothing ? ExitCode::Unreachable : ExitCode::OutcomeUnknown, response.error().kind,
-            response.error().message + "; drain may be asked for again, it does no harm twice"));
+            isUnavailable ? ExitCode::Unreachable : ExitCode::OutcomeUnknown, response.error().kind,
+            response.error().message + "; drain can safely be repeated"));
     }
     if (response->status != Accepted)
         return tl::unexpected(failureOf(server, *response));
@@ -259,12 +262,13 @@
     return std::move(*status);
 }
 
-// An answer can be lost after the change took effect. Reporting "failed" would make the operator
-// change it twice, or undo a change that is in force. So the same id is sent again, to the next
-// server too: the store finds the id or makes the change, but never both. Once an answer was lost,
-// a later "could not reach the table" or "wrong key" says nothing about the earlier attempt, and
-// the outcome stays unknown. A conflict or a fault does settle it: the lost attempt can only take
-// effect on the head it was made for, and against that head the repeat would not have been refused.
+// An answer can be lost after the change took effect. Reporting a failure would make the operator
+// repeat the change, or undo a change that is in force. So the change is sent again with the same
+// id, also to the next server: the store either finds the id or makes the change, never both. Once
+// an answer was lost, a later "could not reach the table" or "wrong key" says nothing about the
+// earlier attempt, and the outcome stays unknown. A conflict or a fault does settle it: the lost
+// attempt can only take effect on the version it was based on, and against that version the repeat
+// would not have been refused.
 Outcome<admin::AcceptedMessage> OperatorsClient::change(const peer::SettingsChange &change)
 {
     HttpRequest request;
@@ -272,21 +276,21 @@
     request.target = "/settings/changes";
     request.fields.set("Content-Type", "application/json");
     request.body = admin::encodeChange(change);
-    Failure last;
-    bool mayBeIn = false;
+    Failure lastFailure;
+    bool mayBeApplied = false;
     for (int round = 0; round < m_state->options.rounds; ++round) {
         if (round > 0)
             std::this_thread::sleep_for(m_state->options.pause);
         for (const Endpoint &server : m_state->options.servers) {
-            auto outcome = m_state->changeOnce(server, request);
-            if (outcome || isSettled(outcome.error(), mayBeIn))
+            auto outcome = m_state->sendChange(server, request);
+            if (outcome || settlesOutcome(outcome.error(), mayBeApplied))
                 return outcome;
-            last = std::move(outcome.error());
-            mayBeIn = mayBeIn || last.code == ExitCode::OutcomeUnknown;
+            lastFailure = std::move(outcome.error());
+            mayBeApplied = mayBeApplied || lastFailure.code == ExitCode::OutcomeUnknown;
         }
     }
-    last.code = mayBeIn ? ExitCode::OutcomeUnknown : ExitCode::Unreachable;
-    return tl::unexpected(std::move(last));
+    lastFailure.code = mayBeApplied ? ExitCode::OutcomeUnknown : ExitCode::Unreachable;
+    return tl::unexpected(std::move(lastFailure));
 }
 
 } // namespace snipestall::ctl
--- a/apps/snipestallctl/operators_client.hpp
+++ b/apps/snipestallctl/operators_client.hpp
@@ -15,7 +15,7 @@
 
 namespace snipestall::ctl {
 
-/// Why a command ends without what was asked for.
+/// Why a command failed: its exit code and the server's refusal or a local error.
 struct Failure
 {
     ExitCode code = ExitCode::BadInput;
@@ -27,17 +27,20 @@
 template<typename T>
 using Outcome = tl::expected<T, Failure>;
 
+/// Servers, key, retries and timeouts of an OperatorsClient.
 struct ClientOptions
 {
     std::vector<wire::Endpoint> servers;
     std::string key;
-    /// How often the whole list of servers is gone through.
+    /// How many times a change is sent to all servers in turn.
     int rounds = 3;
+    /// The pause between two rounds.
     std::chrono::milliseconds pause { 500 };
+    /// The idle timeout of each call.
     std::chrono::milliseconds answerTimeout { 10000 };
 };
 
-/// Talks to the operators' listeners, one call at a time. Blocks.
+/// Client of the operators' listeners. Its calls block and run one at a time.
 ///
 ///     OperatorsClient client(options);
 ///     auto settings = client.settings();
@@ -55,10 +58,12 @@
     Outcome<admin::AuditMessage> audit(const std::string &since, const std::string &path,
                                        const std::string &who, std::uint64_t limit);
     Outcome<admin::InstanceStatus> status(const wire::Endpoint &server);
+    /// Starts the graceful shutdown of the instance; safe to repeat.
     Outcome<admin::InstanceStatus> drain(const wire::Endpoint &server);
 
-    /// Sends a change until its outcome is known: a lost answer is asked for again with the same
-    /// id, at the next server.
+    /// Sends a change until its outcome is known. If an answer is lost, the change is sent again
+    /// with the same id to the next server. Fails with OutcomeUnknown if the change may have been
+    /// applied when all rounds are used up.
     Outcome<admin::AcceptedMessage> change(const peer::SettingsChange &change);
 
     [[nodiscard]] const std::vector<wire::Endpoint> &servers() const;
--- a/apps/snipestallctl/operators_client_test.cpp
+++ b/apps/snipestallctl/operators_client_test.cpp
@@ -15,27 +15,29 @@
 
 using testing::HasSubstr;
 
-/// What a scripted server does with one call.
+/// What the scripted server does with one call.
 enum class Step {
-    CutAfterReading,
+    DropConnection,
     Accept,
-    NotIn,
+    NotApplied,
     Unknown,
     Conflict,
     WrongKey,
 };
 
-/// Answers calls as told, and keeps the change ids it was sent. The last step repeats.
-class Script
+/// Answers each call with the next step and records the change ids it received. The last step
+/// repeats.
+class ScriptedHandler
 {
 public:
-    explicit Script(std::deque<Step> steps)
+    explicit ScriptedHandler(std::deque<Step> steps)
         : m_steps(std::move(steps))
     { }
 
     wire::HttpServer::Handler handler()
     {
-        return [this](wire::HttpExchange &exchange) -> wire::Task<void> { return play(exchange); };
+        return
+            [this](wire::HttpExchange &exchange) -> wire::Task<void> { return runStep(exchange); };
     }
 
     std::vector<std::string> ids()
@@ -45,11 +47,11 @@
     }
 
 private:
-    wire::Task<void> play(wire::HttpExchange &exchange)
+    wire::Task<void> runStep(wire::HttpExchange &exchange)
     {
         const auto change = admin::decodeChange(exchange.request().body);
         const Step step = next(change ? change->id : "?");
-        if (step == Step::CutAfterReading) {
+        if (step == Step::DropConnection) {
             exchange.abort();
             co_return;
         }
@@ -77,7 +79,7 @@
             return wire::HttpResponse::json(status, admin::encodeRefusal(message));
         };
         switch (step) {
-        case Step::NotIn:
+        case Step::NotApplied:
             return refuse(503, ErrorKind::Unavailable);
         case Step::Unknown:
             return refuse(504, ErrorKind::OutcomeUnknown);
@@ -98,7 +100,7 @@
 protected:
     Outcome<admin::AcceptedMessage> change(std::deque<Step> steps)
     {
-        m_script = std::make_unique<Script>(std::move(steps));
+        m_script = std::make_unique<ScriptedHandler>(std::move(steps));
         TestServer server(m_script->handler());
         return changeAt({ server.endpoint() });
     }
@@ -113,45 +115,45 @@
         return client.change(change);
     }
 
-    std::unique_ptr<Script> m_script;
+    std::unique_ptr<ScriptedHandler> m_script;
 };
 
-// The instance that took the change dies before its answer goes out. The operator must learn
-// whether the change is in, without making it twice: the same id is sent again.
+// The instance that received the change stops before it answers. The client must find out whether
+// the change was applied without making it twice, so it sends the same id again.
 TEST_F(OperatorsClientTest, ALostAnswerIsAskedForAgainWithTheSameId)
 {
-    const auto accepted = change({ Step::CutAfterReading, Step::Unknown, Step::Accept });
+    const auto accepted = change({ Step::DropConnection, Step::Unknown, Step::Accept });
     ASSERT_TRUE(accepted.has_value()) << accepted.error().refusal.error.message;
     EXPECT_EQ(accepted->version, 7U);
     EXPECT_THAT(m_script->ids(), testing::ElementsAre("id-1", "id-1", "id-1"));
 }
 
 // After a lost answer the platform's table goes down, or the key is no longer accepted. Each repeat
-// says "not in", but of itself only; taking that for the whole would call a change in force
-// refused.
-TEST_F(OperatorsClientTest, AfterALostAnswerNotInDoesNotSettleIt)
+// is answered with "not applied", which holds for that repeat only. Taking it for the outcome would
+// report a change that is in force as refused.
+TEST_F(OperatorsClientTest, AfterALostAnswerNotAppliedDoesNotSettleTheOutcome)
 {
-    for (const Step later : { Step::NotIn, Step::WrongKey }) {
-        const auto accepted = change({ Step::CutAfterReading, later });
+    for (const Step later : { Step::NotApplied, Step::WrongKey }) {
+        const auto accepted = change({ Step::DropConnection, later });
         ASSERT_FALSE(accepted.has_value());
         EXPECT_EQ(accepted.error().code, ExitCode::OutcomeUnknown);
     }
 }
 
-TEST_F(OperatorsClientTest, RefusalsEndAtOnceAndNotInIsTriedAgain)
+TEST_F(OperatorsClientTest, RefusalsEndAtOnceAndNotAppliedIsTriedAgain)
 {
     EXPECT_EQ(change({ Step::Conflict }).error().code, ExitCode::Refused);
     EXPECT_EQ(m_script->ids().size(), 1U);
     EXPECT_EQ(change({ Step::WrongKey }).error().code, ExitCode::Refused);
     EXPECT_EQ(m_script->ids().size(), 1U);
-    EXPECT_EQ(change({ Step::NotIn }).error().code, ExitCode::Unreachable);
+    EXPECT_EQ(change({ Step::NotApplied }).error().code, ExitCode::Unreachable);
     EXPECT_EQ(m_script->ids().size(), 3U);
-    EXPECT_TRUE(change({ Step::NotIn, Step::Accept }).has_value());
+    EXPECT_TRUE(change({ Step::NotApplied, Step::Accept }).has_value());
 }
 
 TEST_F(OperatorsClientTest, TriesTheNextServerWhereOneIsGone)
 {
-    Script script({ Step::Accept });
+    ScriptedHandler script({ Step::Accept });
     TestServer alive(script.handler());
     wire::Endpoint gone;
     {
--- a/apps/snipestallctl/options.hpp
+++ b/apps/snipestallctl/options.hpp
@@ -16,7 +16,7 @@
     Yaml,
 };
 
-/// What the flags say, checked.
+/// The values of the flags, checked.
 struct Options
 {
     std::vector<wire::Endpoint> servers;
@@ -24,17 +24,19 @@
     OutputFormat output = OutputFormat::Table;
     std::string reason;
     std::string file;
-    /// The version that the change is made against; the newest if absent.
+    /// The version that the change is based on; the newest if absent.
     std::optional<std::uint64_t> baseVersion;
-    /// Repeats an earlier change whose outcome is unknown.
+    /// The id of an earlier change whose outcome is unknown, to repeat it; empty for a new change.
     std::string changeId;
-    /// Come back only when every server named has the change in force.
+    /// Whether to return only when every server in `servers` has the change in force.
     bool wait = false;
-    /// Changes are in force everywhere within this time.
+    /// How long `wait` waits: a change is in force everywhere within this time.
     std::chrono::milliseconds inForceWithin { 9000 };
-    /// A rollback takes the old version's keys too.
+    /// Whether a rollback restores the old version's operators and keys too.
     bool withKeys = false;
+    /// Whether to show the values in force instead of the settings as written.
     bool effective = false;
+    /// The version to show; the newest if absent.
     std::optional<std::uint64_t> atVersion;
     std::string dataCentre;
     std::string customer;
--- a/apps/snipestallctl/printer.cpp
+++ b/apps/snipestallctl/printer.cpp
@@ -10,7 +10,7 @@
 namespace snipestall::ctl {
 namespace {
 
-constexpr std::size_t Gap = 2;
+constexpr std::size_t ColumnGap = 2;
 
 std::vector<std::size_t> widthsOf(const TextTable &table)
 {
@@ -31,7 +31,7 @@
     for (std::size_t i = 0; i < row.size(); ++i) {
         line += row[i];
         if (i + 1 < row.size())
-            line.append(widths[i] - row[i].size() + Gap, ' ');
+            line.append(widths[i] - row[i].size() + ColumnGap, ' ');
     }
     out << line << '\n';
 }
@@ -43,7 +43,7 @@
     return (object && object->empty()) || (array && array->empty());
 }
 
-void emit(YAML::Emitter &out, const boost::json::value &value)
+void emitYaml(YAML::Emitter &out, const boost::json::value &value)
 {
     if (isEmpty(value))
         out << YAML::Flow;
@@ -51,13 +51,13 @@
         out << YAML::BeginMap;
         for (const auto &member : *object) {
             out << YAML::Key << std::string(member.key()) << YAML::Value;
-            emit(out, member.value());
+            emitYaml(out, member.value());
         }
         out << YAML::EndMap;
     } else if (const auto *array = value.if_array()) {
         out << YAML::BeginSeq;
         for (const auto &item : *array)
-            emit(out, item);
+            emitYaml(out, item);
         out << YAML::EndSeq;
     } else if (const auto *text = value.if_string()) {
         out << std::string(text->c_str());
@@ -81,7 +81,7 @@
 void writeYaml(std::ostream &out, const TextTable &, const boost::json::value &content)
 {
     YAML::Emitter emitter;
-    emit(emitter, content);
+    emitYaml(emitter, content);
     out << emitter.c_str() << '\n';
 }
 
--- a/apps/snipestallctl/printer.hpp
+++ b/apps/snipestallctl/printer.hpp
@@ -10,7 +10,7 @@
 
 namespace snipestall::ctl {
 
-/// Rows for people; columns are aligned.
+/// Rows of text, printed with aligned columns.
 struct TextTable
 {
     std::vector<std::string> header;
@@ -19,7 +19,7 @@
 
 void printTable(std::ostream &out, const TextTable &table);
 
-/// The same content as rows, JSON or YAML, as asked for.
+/// Prints `table`, or `content` as JSON or YAML, as `format` says. Both hold the same data.
 void print(std::ostream &out, OutputFormat format, const TextTable &table,
            const boost::json::value &content);
 
--- a/apps/snipestallctl/report.cpp
+++ b/apps/snipestallctl/report.cpp
@@ -18,7 +18,7 @@
             << "; allowed: " << fault.allowed << '\n';
 }
 
-void printTheirs(std::ostream &err, const admin::RefusalMessage &refusal)
+void printConflictingChanges(std::ostream &err, const admin::RefusalMessage &refusal)
 {
     for (const settings::Difference &theirs : refusal.theirs)
         err << "  " << theirs.path << ": " << theirs.before.value_or(NotSet) << " -> "
@@ -29,38 +29,38 @@
         err << (record.reason.empty() ? "" : ": " + record.reason) << '\n';
     }
     const std::string version = std::to_string(refusal.currentVersion);
-    err << "To go on: look at version " << version
+    err << "To continue, look at version " << version
         << " (snipestallctl get), then run the same command with --base_version " << version
-        << " if your change is still wanted.\n";
+        << " if you still want the change.\n";
 }
 
 } // namespace
 
-ExitCode report(const Invocation &run, const Failure &failure)
+ExitCode report(const Invocation &invocation, const Failure &failure)
 {
     const admin::RefusalMessage &refusal = failure.refusal;
-    run.err << "snipestallctl: " << refusal.error.message << '\n';
-    printFaults(run.err, refusal.faults);
+    invocation.err << "snipestallctl: " << refusal.error.message << '\n';
+    printFaults(invocation.err, refusal.faults);
     if (refusal.error.kind == ErrorKind::Conflict && refusal.currentVersion > 0)
-        printTheirs(run.err, refusal);
-    if (run.options.output == OutputFormat::Json)
-        run.out << admin::encodeRefusal(refusal) << '\n';
+        printConflictingChanges(invocation.err, refusal);
+    if (invocation.options.output == OutputFormat::Json)
+        invocation.out << admin::encodeRefusal(refusal) << '\n';
     return failure.code;
 }
 
-ExitCode reportFaults(const Invocation &run, const std::vector<settings::Fault> &faults)
+ExitCode reportFaults(const Invocation &invocation, const std::vector<settings::Fault> &faults)
 {
     Failure failure =
         Failure::of(ExitCode::BadInput, ErrorKind::InvalidArgument,
                     std::to_string(faults.size()) + (faults.size() == 1 ? " fault" : " faults")
-                        + "; nothing is applied until each is mended");
+                        + "; nothing was applied, correct every fault first");
     failure.refusal.faults = faults;
-    return report(run, failure);
+    return report(invocation, failure);
 }
 
-ExitCode reportBadInput(const Invocation &run, const std::string &message)
+ExitCode reportBadInput(const Invocation &invocation, const std::string &message)
 {
-    return report(run, Failure::of(ExitCode::BadInput, ErrorKind::InvalidArgument, message));
+    return report(invocation, Failure::of(ExitCode::BadInput, ErrorKind::InvalidArgument, message));
 }
 
 TextTable tableOf(const std::vector<settings::Difference> &differences)
--- a/apps/snipestallctl/report.hpp
+++ b/apps/snipestallctl/report.hpp
@@ -11,11 +11,11 @@
 
 namespace snipestall::ctl {
 
-/// Tells the operator what went wrong and how to go on.
-ExitCode report(const Invocation &run, const Failure &failure);
-/// Faults found without a server.
-ExitCode reportFaults(const Invocation &run, const std::vector<settings::Fault> &faults);
-ExitCode reportBadInput(const Invocation &run, const std::string &message);
+/// Prints the failure and what the operator can do about it, and returns its exit code.
+ExitCode report(const Invocation &invocation, const Failure &failure);
+/// Prints the faults of a settings file that were found without a server; returns BadInput.
+ExitCode reportFaults(const Invocation &invocation, const std::vector<settings::Fault> &faults);
+ExitCode reportBadInput(const Invocation &invocation, const std::string &message);
 
 TextTable tableOf(const std::vector<settings::Difference> &differences);
 boost::json::array jsonOf(const std::vector<settings::Difference> &differences);
--- a/apps/snipestallctl/session.cpp
+++ b/apps/snipestallctl/session.cpp
@@ -15,7 +15,7 @@
     return OperatorsClient(std::move(client));
 }
 
-Outcome<settings::Tree> ReadVersion::tree() const
+Outcome<settings::Tree> SettingsVersion::tree() const
 {
     auto parsed = settings::Tree::parse(yaml);
     if (parsed)
@@ -23,19 +23,19 @@
     Failure failure =
         Failure::of(ExitCode::BadInput, ErrorKind::InvalidArgument,
                     "version " + std::to_string(version)
-                        + " does not pass this program's checks; use the snipestallctl "
+                        + " does not pass the checks of this snipestallctl; use the one "
                           "of the instances' release");
     failure.refusal.faults = std::move(parsed.error());
     return tl::unexpected(std::move(failure));
 }
 
-Outcome<ReadVersion> readVersion(OperatorsClient &client, std::optional<std::uint64_t> version)
+Outcome<SettingsVersion> readVersion(OperatorsClient &client, std::optional<std::uint64_t> version)
 {
     auto message = version ? client.version(*version) : client.settings();
     if (!message)
         return tl::unexpected(std::move(message.error()));
-    return ReadVersion { message->document.version, std::move(message->document.yaml),
-                         message->fromTable };
+    return SettingsVersion { message->document.version, std::move(message->document.yaml),
+                             message->fromTable };
 }
 
 Outcome<std::string> readFile(const Options &options)
@@ -46,12 +46,12 @@
     if (options.file.empty() || !file)
         return tl::unexpected(Failure::of(ExitCode::BadInput, ErrorKind::NotFound,
                                           options.file.empty()
-                                              ? "name the settings file: -f FILE"
-                                              : "can't read the file '" + options.file + "'"));
+                                              ? "no settings file given; use -f FILE"
+                                              : "cannot read the file '" + options.file + "'"));
     return std::string(std::istreambuf_iterator<char>(file), {});
 }
 
-std::optional<std::uint64_t> versionLine(std::string_view yaml)
+std::optional<std::uint64_t> parseVersionLine(std::string_view yaml)
 {
     constexpr std::string_view Prefix = "# version ";
     if (!yaml.starts_with(Prefix))
--- a/apps/snipestallctl/session.hpp
+++ b/apps/snipestallctl/session.hpp
@@ -9,26 +9,29 @@
 
 namespace snipestall::ctl {
 
-/// The client that the flags ask for.
+/// Creates a client with the servers and the key of the flags.
 OperatorsClient clientFor(const Options &options);
 
-/// One version of the settings, read and checked; no tree while there are none.
-struct ReadVersion
+/// One version of the settings, as read from a server. Version 0 means that there are no settings
+/// yet; it has no tree.
+struct SettingsVersion
 {
     std::uint64_t version = 0;
     std::string yaml;
+    /// False if the platform's table did not answer and an instance returned what it has in force.
     bool fromTable = true;
 
+    /// Parses and checks the YAML; fails with BadInput and the faults.
     [[nodiscard]] Outcome<settings::Tree> tree() const;
 };
 
-/// The version asked for, or the newest.
-Outcome<ReadVersion> readVersion(OperatorsClient &client, std::optional<std::uint64_t> version);
+/// Reads the given version, or the newest if absent.
+Outcome<SettingsVersion> readVersion(OperatorsClient &client, std::optional<std::uint64_t> version);
 
-/// The text of the file that -f names; - is standard input.
+/// Reads the file that -f names; "-" is standard input.
 Outcome<std::string> readFile(const Options &options);
 
-/// The version in a first line "# version N", as `get --output yaml` writes it.
-std::optional<std::uint64_t> versionLine(std::string_view yaml);
+/// Parses the version in the first line "# version N", which `get --output yaml` writes.
+std::optional<std::uint64_t> parseVersionLine(std::string_view yaml);
 
 } // namespace snipestall::ctl
--- a/apps/snipestallctl/test_server.hpp
+++ b/apps/snipestallctl/test_server.hpp
@@ -12,7 +12,7 @@
 
 namespace snipestall::ctl {
 
-/// A listener on loopback with a loop and thread of its own, since the client blocks.
+/// An HTTP server on loopback with its own event loop and thread, because the client blocks.
 class TestServer
 {
 public:
@@ -30,7 +30,7 @@
     [[nodiscard]] wire::Endpoint endpoint() const { return m_server->endpoint(); }
     boost::asio::io_context &io() { return m_io; }
 
-    /// Runs something on the server's own thread.
+    /// Runs `work` on the server's thread and waits until it is done.
     template<typename Work>
     void onLoop(Work work)
     {
