--- a/tests/harness/harness_test.cpp
+++ b/tests/harness/harness_test.cpp
@@ -48,7 +48,7 @@
     EXPECT_TRUE(waitUntil([&] { return state("south-1", "north-1") == "suspected"; }));
     EXPECT_TRUE(waitUntil([&] { return state("north-1", "south-1") == "suspected"; }));
     EXPECT_EQ(state("north-2", "north-1"), "up");
-    topology().joinDataCentres("north", "south");
+    topology().reconnectDataCentres("north", "south");
     EXPECT_TRUE(waitUntil([&] { return state("south-1", "north-1") == "up"; }));
     EXPECT_TRUE(waitUntil([&] { return state("north-1", "south-1") == "up"; }));
 }
--- a/tests/harness/http_call.hpp
+++ b/tests/harness/http_call.hpp
@@ -12,17 +12,18 @@
 
 namespace snipestall::harness {
 
-/// One HTTP call, done when it returns.
+/// Sends one HTTP request and blocks until its response is complete. Fails if the response takes
+/// longer than `limit`.
 Result<wire::HttpResponse> httpCall(const wire::Endpoint &endpoint, wire::HttpRequest request,
                                     std::chrono::milliseconds limit = std::chrono::seconds(20));
 Result<wire::HttpResponse> httpGet(const wire::Endpoint &endpoint, const std::string &target);
 Result<wire::HttpResponse> httpPost(const wire::Endpoint &endpoint, const std::string &target,
                                     const std::string &body);
 
-/// The JSON object that a GET answers with 200; an empty one otherwise.
+/// Returns the JSON object of a GET that is answered with 200; an empty object otherwise.
 boost::json::object httpGetObject(const wire::Endpoint &endpoint, const std::string &target);
 
-/// A number of such an object; 0 if absent.
+/// Returns the number under a name of a JSON object; 0 if it is absent.
 std::int64_t numberOf(const boost::json::object &object, const std::string &name);
 
 } // namespace snipestall::harness
--- a/tests/harness/ledger_files.hpp
+++ b/tests/harness/ledger_files.hpp
@@ -7,14 +7,14 @@
 
 namespace snipestall::harness {
 
-/// The records of engines and services from the files that they write; of a killed process too.
-/// Files that are not there yet count as empty.
+/// Reads the records that engines and services write to their files, including those of killed
+/// processes. Files that do not exist yet count as empty.
 load::Ledger readLedgerFiles(const std::vector<std::string> &files);
 
-/// Attempts of one request that were run.
+/// Returns the attempts of one request that were run, which leaves out refused ones.
 std::vector<load::LedgerAttempt> attemptsOf(const load::Ledger &ledger, const std::string &request);
 
-/// How often a key, or a request without a key, took effect over all services.
+/// Returns how often an idempotency key, or a request without one, took effect in all services.
 std::int64_t runsOf(const load::Ledger &ledger, const std::string &keyOrRequest);
 
 } // namespace snipestall::harness
--- a/tests/harness/port_pool.cpp
+++ b/tests/harness/port_pool.cpp
@@ -33,9 +33,9 @@
     return !ec;
 }
 
-// Tests run side by side, and between the check of a port and its use another test may check it
-// too: both then start a process on it and one fails. A lock on a file named after the port, held
-// for the test's life and freed by the system at its end, keeps them apart.
+// Tests run in parallel. Another test may check a port between this test's check and its use of the
+// port; both then start a process on it and one fails. A lock on a file named after the port
+// prevents this. The test holds the lock until it ends, when the system releases it.
 int lockPort(std::uint16_t port)
 {
     const auto directory = std::filesystem::temp_directory_path() / "snipestall-ports";
--- a/tests/harness/port_pool.hpp
+++ b/tests/harness/port_pool.hpp
@@ -5,9 +5,9 @@
 
 namespace snipestall::harness {
 
-/// Hands out ports that nobody listens on. They come from below the range of which the system
-/// gives ports to outgoing connections, so that none takes a port while its process is down or has
-/// not yet bound it.
+/// Allocates ports on which no process listens. They are below the range from which the system
+/// assigns ports to outgoing connections, so that no connection takes a port while its process is
+/// down or has not bound it yet.
 class PortPool
 {
 public:
@@ -19,7 +19,7 @@
     std::uint16_t take();
 
 private:
-    /// With the descriptor of its lock.
+    /// Allocated ports with the file descriptors of their locks.
     std::map<std::uint16_t, int> m_taken;
     std::uint64_t m_seed;
 };
--- a/tests/harness/process.cpp
+++ b/tests/harness/process.cpp
@@ -26,7 +26,7 @@
     return path ? program : std::string(SNIPESTALL_PROGRAMS) + "/" + program;
 }
 
-/// Runs in the child between fork and exec: only calls that are safe there.
+/// Runs in the child between fork and exec, so it makes only calls that are safe there.
 [[noreturn]] void becomeProgram(pid_t parent, int log, const char *path, char *const *arguments)
 {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -49,7 +49,7 @@
 {
     const std::string path = pathOf(spec.program);
     if (access(path.c_str(), X_OK) != 0)
-        return fail(ErrorKind::NotFound, "no program " + path + "; build it first");
+        return fail(ErrorKind::NotFound, "program " + path + " does not exist; build it first");
     std::vector<char *> arguments;
     std::string name = path;
     arguments.push_back(name.data());
@@ -63,7 +63,7 @@
         becomeProgram(parent, log, path.c_str(), arguments.data());
     close(log);
     if (child < 0)
-        return fail(ErrorKind::Exhausted, std::string("can't fork: ") + std::strerror(errno));
+        return fail(ErrorKind::Exhausted, std::string("cannot fork: ") + std::strerror(errno));
     return std::unique_ptr<Process>(new Process(std::move(spec), child));
 }
 
@@ -72,7 +72,7 @@
     kill();
 }
 
-void Process::takeStatus(int status)
+void Process::recordExitStatus(int status)
 {
     if (WIFEXITED(status))
         m_exitStatus = WEXITSTATUS(status);
@@ -84,7 +84,7 @@
 {
     int status = 0;
     if (!m_exitStatus && waitpid(m_pid, &status, WNOHANG) == m_pid)
-        takeStatus(status);
+        recordExitStatus(status);
     return m_exitStatus;
 }
 
@@ -123,7 +123,7 @@
     signal(SIGKILL);
     int status = 0;
     if (waitpid(m_pid, &status, 0) == m_pid)
-        takeStatus(status);
+        recordExitStatus(status);
 }
 
 void Process::freeze()
@@ -133,7 +133,7 @@
     signal(SIGSTOP);
     int status = 0;
     if (waitpid(m_pid, &status, WUNTRACED) == m_pid)
-        takeStatus(status);
+        recordExitStatus(status);
 }
 
 void Process::thaw()
--- a/tests/harness/process.hpp
+++ b/tests/harness/process.hpp
@@ -12,22 +12,23 @@
 
 namespace snipestall::harness {
 
+/// How a process is started.
 struct ProcessSpec
 {
     std::string name;
     /// File name in the build's bin directory, or a path.
     std::string program;
     std::vector<std::string> arguments;
-    /// Gets standard output and error, appended.
+    /// File to which standard output and standard error are appended.
     std::string logFile;
 };
 
-/// A child process, known by its pid and by nothing else. Dies with the test's process.
+/// A child process, identified by its pid alone. It is killed when the test's process ends.
 class Process
 {
 public:
     static Result<std::unique_ptr<Process>> start(ProcessSpec spec);
-    /// Kills it if it still runs.
+    /// Kills the process if it still runs.
     ~Process();
     Process(const Process &) = delete;
     Process &operator=(const Process &) = delete;
@@ -35,17 +36,19 @@
     [[nodiscard]] pid_t pid() const { return m_pid; }
     [[nodiscard]] const ProcessSpec &spec() const { return m_spec; }
     bool running();
-    /// Exit status, or 128 + the signal that ended it; nothing while it runs.
+    /// Exit status, or 128 + the number of the signal that ended the process; nothing while it
+    /// runs.
     std::optional<int> exitStatus();
 
-    /// SIGTERM, without waiting.
+    /// Sends SIGTERM and does not wait.
     void terminate();
-    /// SIGTERM and waits for its end; nothing if it does not end within the limit.
+    /// Sends SIGTERM and waits for the exit status; nothing if the process does not end within the
+    /// limit.
     std::optional<int> stop(std::chrono::milliseconds limit);
     std::optional<int> stop();
-    /// SIGKILL and waits for its end.
+    /// Sends SIGKILL and waits until the process has ended.
     void kill();
-    /// SIGSTOP; returns once the process has stopped.
+    /// Sends SIGSTOP and returns once the process has stopped.
     void freeze();
     void thaw();
     [[nodiscard]] std::string log() const;
@@ -53,7 +56,7 @@
 private:
     Process(ProcessSpec spec, pid_t pid);
     void signal(int number) const;
-    void takeStatus(int status);
+    void recordExitStatus(int status);
 
     ProcessSpec m_spec;
     pid_t m_pid;
--- a/tests/harness/process_scenario_test.cpp
+++ b/tests/harness/process_scenario_test.cpp
@@ -1,5 +1,5 @@
 #include "harness/scenario/process_scenario.hpp"
-#include "harness/scenario/stage.hpp"
+#include "harness/scenario/scenario_context.hpp"
 #include "harness/topology_test_base.hpp"
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 class ProcessScenarioTest : public TopologyTest, public testing::WithParamInterface<std::string>
 { };
 
-/// The stories are in the files, one each.
+/// Runs every scenario file; each describes its own scenario.
 TEST_P(ProcessScenarioTest, KeepsItsExpectations)
 {
     const std::string file = std::string(SNIPESTALL_PROCESS_SCENARIOS) + "/" + GetParam() + ".yaml";
@@ -31,9 +31,9 @@
                           << "; allowed: " << fault.allowed;
         return;
     }
-    Stage stage(start(scenario->topology));
-    for (const auto &wrong : runScenario(*scenario, stage))
-        ADD_FAILURE() << wrong;
+    ScenarioContext context(start(scenario->topology));
+    for (const auto &failure : runScenario(*scenario, context))
+        ADD_FAILURE() << failure;
 }
 
 INSTANTIATE_TEST_SUITE_P(Files, ProcessScenarioTest, testing::ValuesIn(allScenarios()),
--- a/tests/harness/process_test.cpp
+++ b/tests/harness/process_test.cpp
@@ -22,7 +22,7 @@
     EXPECT_EQ(process->log(), "out\nerr\n");
 }
 
-TEST(ProcessTest, AFrozenProcessStandsStillUntilThawed)
+TEST(ProcessTest, AFrozenProcessDoesNotRunUntilThawed)
 {
     const TempDir directory;
     const auto process = startShell(directory, "while :; do echo x; sleep 0.01; done");
@@ -37,7 +37,7 @@
     EXPECT_EQ(process->exitStatus(), 128 + 9);
 }
 
-TEST(ProcessTest, AProgramThatIsNotThereIsAnError)
+TEST(ProcessTest, AMissingProgramIsAnError)
 {
     EXPECT_FALSE(Process::start({ "none", "no-such-program", {}, "/dev/null" }).has_value());
 }
--- a/tests/harness/proxy_control.hpp
+++ b/tests/harness/proxy_control.hpp
@@ -7,20 +7,21 @@
 
 namespace snipestall::harness {
 
-/// Orders to one fault-injecting proxy; each throws std::runtime_error if the proxy refuses it.
+/// Controls one fault-injecting proxy. Calls that change faults throw std::runtime_error if the
+/// proxy refuses the change.
 class ProxyControl
 {
 public:
     explicit ProxyControl(wire::Endpoint control);
 
-    /// A body of POST /faults, as in docs/design/standin-protocols.md.
+    /// Sends `faults` as the body of POST /faults; see docs/design/standin-protocols.md.
     void set(const std::string &faults) const;
     void freeze() const { set(R"({"freeze":true})"); }
-    /// Swallows bytes in both directions: a partition that neither side is told of.
+    /// Drops bytes in both directions without closing connections, as a network partition does.
     void drop() const { set(R"({"drop":"both"})"); }
     void refuse() const { set(R"({"refuse":true,"cut_all":true})"); }
     void cutAll() const { set(R"({"cut_all":true})"); }
-    /// No fault is left. After a drop the connections have lost bytes, so they are cut.
+    /// Removes all faults. Connections are closed because they may have lost bytes in a drop.
     void heal() const;
     [[nodiscard]] std::int64_t counter(const std::string &name) const;
 
--- a/tests/harness/scenario/act_reader.cpp
+++ b/tests/harness/scenario/action_reader.cpp
@@ -1,6 +1,6 @@
-#include "harness/scenario/act_reader.hpp"
+#include "harness/scenario/action_reader.hpp"
 
-#include "harness/scenario/stage.hpp"
+#include "harness/scenario/scenario_context.hpp"
 #include "harness/scenario/yaml_json.hpp"
 
 #include <map>
@@ -11,10 +11,10 @@
 
 namespace {
 
-using Act = std::function<void(Stage &)>;
-using ReadAct = Act (*)(const YAML::Node &node, const std::string &path, Faults &faults);
+using Action = std::function<void(ScenarioContext &)>;
+using ReadAction = Action (*)(const YAML::Node &node, const std::string &path, Faults &faults);
 
-/// A name or a list of names.
+/// Reads a name or a list of names.
 std::vector<std::string> names(const YAML::Node &node, const std::string &path, Faults &faults)
 {
     std::vector<std::string> all;
@@ -35,138 +35,142 @@
     return node.IsDefined() && node.IsScalar() ? node.Scalar() : std::string();
 }
 
-Act forEach(std::vector<std::string> all, void (*act)(Topology &, const std::string &))
+Action forEach(std::vector<std::string> all, void (*action)(Topology &, const std::string &))
 {
-    return [all = std::move(all), act](Stage &stage) {
+    return [all = std::move(all), action](ScenarioContext &context) {
         for (const auto &name : all)
-            act(stage.topology(), name);
+            action(context.topology(), name);
     };
 }
 
-Act readLoad(const YAML::Node &node, const std::string &, Faults &)
+Action readLoad(const YAML::Node &node, const std::string &, Faults &)
 {
     YAML::Emitter out;
     out << node;
     const std::string mix = out.c_str();
-    return [mix](Stage &stage) { stage.startLoad(mix); };
+    return [mix](ScenarioContext &context) { context.startLoad(mix); };
 }
 
-/// {of: NAME or NAMES, notice: TIME}
-Act readReclaim(const YAML::Node &node, const std::string &path, Faults &faults)
+/// Form: {of: NAME or NAMES, notice: TIME}
+Action readReclaim(const YAML::Node &node, const std::string &path, Faults &faults)
 {
     YamlFields fields(node, path, faults);
     const auto all = names(fields.child("of"), path + "/of", faults);
     const auto notice =
         std::chrono::duration_cast<std::chrono::milliseconds>(fields.duration("notice"));
     fields.rejectOthers();
-    return [all, notice](Stage &stage) {
+    return [all, notice](ScenarioContext &context) {
         for (const auto &name : all)
-            stage.topology().giveNotice(name, notice);
+            context.topology().giveNotice(name, notice);
     };
 }
 
-Act readKill(const YAML::Node &node, const std::string &path, Faults &faults)
+Action readKill(const YAML::Node &node, const std::string &path, Faults &faults)
 {
     return forEach(names(node, path, faults), [](Topology &topology, const std::string &name) {
         topology.process(name).kill();
     });
 }
 
-Act readStop(const YAML::Node &node, const std::string &path, Faults &faults)
+Action readStop(const YAML::Node &node, const std::string &path, Faults &faults)
 {
     return forEach(names(node, path, faults), [](Topology &topology, const std::string &name) {
         topology.process(name).terminate();
     });
 }
 
-Act readFreeze(const YAML::Node &node, const std::string &path, Faults &faults)
+Action readFreeze(const YAML::Node &node, const std::string &path, Faults &faults)
 {
     return forEach(names(node, path, faults), [](Topology &topology, const std::string &name) {
         topology.process(name).freeze();
     });
 }
 
-Act readThaw(const YAML::Node &node, const std::string &path, Faults &faults)
+Action readThaw(const YAML::Node &node, const std::string &path, Faults &faults)
 {
     return forEach(names(node, path, faults), [](Topology &topology, const std::string &name) {
         topology.process(name).thaw();
     });
 }
 
-Act readRestart(const YAML::Node &node, const std::string &path, Faults &faults)
+Action readRestart(const YAML::Node &node, const std::string &path, Faults &faults)
 {
     return forEach(names(node, path, faults),
                    [](Topology &topology, const std::string &name) { topology.restart(name); });
 }
 
-/// {proxies: NAMES, with: body of POST /faults}
-Act readCut(const YAML::Node &node, const std::string &path, Faults &faults)
+/// Form: {proxies: NAMES, with: body of POST /faults}
+Action readCut(const YAML::Node &node, const std::string &path, Faults &faults)
 {
     YamlFields fields(node, path, faults);
     const auto proxies = names(fields.child("proxies"), path + "/proxies", faults);
     const std::string body = toJson(fields.child("with"));
     fields.rejectOthers();
-    return [proxies, body](Stage &stage) {
+    return [proxies, body](ScenarioContext &context) {
         for (const auto &name : proxies)
-            stage.topology().proxy(name).set(body);
+            context.topology().proxy(name).set(body);
     };
 }
 
-Act readHeal(const YAML::Node &node, const std::string &path, Faults &faults)
+Action readHeal(const YAML::Node &node, const std::string &path, Faults &faults)
 {
     return forEach(names(node, path, faults), [](Topology &topology, const std::string &name) {
         topology.proxy(name).heal();
     });
 }
 
-using PairAct = void (Topology::*)(const std::string &, const std::string &) const;
+using PairAction = void (Topology::*)(const std::string &, const std::string &) const;
 
-Act onPair(const YAML::Node &node, const std::string &path, Faults &faults, PairAct act)
+Action onPair(const YAML::Node &node, const std::string &path, Faults &faults, PairAction action)
 {
     const auto pair = names(node, path, faults);
     if (pair.size() != 2) {
         faults.push_back({ path, std::to_string(pair.size()) + " names", "two data centres" });
         return {};
     }
-    return [pair, act](Stage &stage) { (stage.topology().*act)(pair[0], pair[1]); };
+    return [pair, action](ScenarioContext &context) {
+        (context.topology().*action)(pair[0], pair[1]);
+    };
 }
 
-Act readPartition(const YAML::Node &node, const std::string &path, Faults &faults)
+Action readPartition(const YAML::Node &node, const std::string &path, Faults &faults)
 {
     return onPair(node, path, faults, &Topology::cutDataCentres);
 }
 
-Act readJoin(const YAML::Node &node, const std::string &path, Faults &faults)
+Action readJoin(const YAML::Node &node, const std::string &path, Faults &faults)
 {
-    return onPair(node, path, faults, &Topology::joinDataCentres);
+    return onPair(node, path, faults, &Topology::reconnectDataCentres);
 }
 
-Act readPlatform(const YAML::Node &node, const std::string &, Faults &)
+Action readPlatform(const YAML::Node &node, const std::string &, Faults &)
 {
     const std::string body = toJson(node);
-    return [body](Stage &stage) { stage.topology().platformFaults(body); };
+    return [body](ScenarioContext &context) { context.topology().platformFaults(body); };
 }
 
-/// {server: NAME, with: body of POST /control}
-Act readControl(const YAML::Node &node, const std::string &path, Faults &faults)
+/// Form: {server: NAME, with: body of POST /control}
+Action readControl(const YAML::Node &node, const std::string &path, Faults &faults)
 {
     const std::string server = text(node, path, "server", faults);
     const std::string body = node.IsMap() ? toJson(node["with"]) : "{}";
-    return [server, body](Stage &stage) { stage.topology().controlServer(server, body); };
+    return [server, body](ScenarioContext &context) {
+        context.topology().controlServer(server, body);
+    };
 }
 
-/// {via: ENTRY, path: PATH, value: YAML}
-Act readSettings(const YAML::Node &node, const std::string &path, Faults &faults)
+/// Form: {via: ENTRY, path: PATH, value: YAML}
+Action readSettings(const YAML::Node &node, const std::string &path, Faults &faults)
 {
     const std::string entry = text(node, path, "via", faults);
     const std::string where = text(node, path, "path", faults);
     const std::string value = text(node, path, "value", faults);
-    return [entry, where, value](Stage &stage) {
-        stage.topology().changeSettings(entry, where, value);
+    return [entry, where, value](ScenarioContext &context) {
+        context.topology().changeSettings(entry, where, value);
     };
 }
 
-const std::map<std::string, ReadAct> Acts {
+const std::map<std::string, ReadAction> Actions {
     { "load", readLoad },           { "reclaim", readReclaim },   { "kill", readKill },
     { "stop", readStop },           { "freeze", readFreeze },     { "thaw", readThaw },
     { "restart", readRestart },     { "cut", readCut },           { "heal", readHeal },
@@ -176,18 +180,18 @@
 
 } // namespace
 
-Act readAct(YamlFields &step, Faults &faults)
+Action readAction(YamlFields &step, Faults &faults)
 {
-    Act act;
-    for (const auto &[name, read] : Acts) {
+    Action action;
+    for (const auto &[name, read] : Actions) {
         const YAML::Node node = step.child(name);
         if (!node.IsDefined())
             continue;
-        if (act)
+        if (action)
             step.faultAt(name, "a second action", "one action in each step");
-        act = read(node, step.pathOf(name), faults);
+        action = read(node, step.pathOf(name), faults);
     }
-    return act;
+    return action;
 }
 
 } // namespace snipestall::harness
--- a/tests/harness/scenario/check_reader.hpp
+++ b/tests/harness/scenario/check_reader.hpp
@@ -11,8 +11,8 @@
 
 using policy::harness::Faults;
 
-/// Reads what a scenario expects at its end. That no load found a promise broken is always
-/// expected.
+/// Reads the expectations that a scenario checks at its end. Every scenario also expects that no
+/// load found a violated guarantee.
 std::vector<ProcessExpectation> readChecks(const YAML::Node &node, const std::string &path,
                                            Faults &faults);
 
--- a/tests/harness/scenario/condition_reader.cpp
+++ b/tests/harness/scenario/condition_reader.cpp
@@ -1,6 +1,6 @@
 #include "harness/scenario/condition_reader.hpp"
 
-#include "harness/scenario/stage.hpp"
+#include "harness/scenario/scenario_context.hpp"
 
 #include <map>
 
@@ -28,58 +28,66 @@
     return node.IsDefined() && node.IsScalar() ? node.Scalar() : std::string();
 }
 
-/// A count, or {on: SERVER, least: COUNT}.
+/// Form: a count, or {on: SERVER, least: COUNT}.
 StepCondition readRunning(const YAML::Node &node, const std::string &path, Faults &faults)
 {
     std::string server;
     if (node.IsMap())
         server = word(node["on"], path + "/on", faults);
-    const std::size_t least =
+    const std::size_t minimum =
         node.IsMap() ? count(node["least"], path + "/least", faults) : count(node, path, faults);
-    return [server, least](const Stage &stage) { return stage.attemptsRunning(server) >= least; };
+    return [server, minimum](const ScenarioContext &context) {
+        return context.attemptsRunning(server) >= minimum;
+    };
 }
 
 StepCondition readAttempts(const YAML::Node &node, const std::string &path, Faults &faults)
 {
-    const std::size_t least = count(node, path, faults);
-    return [least](const Stage &stage) {
-        return stage.topology().ledger().attempts().size() >= least;
+    const std::size_t minimum = count(node, path, faults);
+    return [minimum](const ScenarioContext &context) {
+        return context.topology().ledger().attempts().size() >= minimum;
     };
 }
 
 StepCondition readRuns(const YAML::Node &node, const std::string &path, Faults &faults)
 {
-    const std::size_t least = count(node, path, faults);
-    return [least](const Stage &stage) { return stage.topology().ledger().runs().size() >= least; };
+    const std::size_t minimum = count(node, path, faults);
+    return [minimum](const ScenarioContext &context) {
+        return context.topology().ledger().runs().size() >= minimum;
+    };
 }
 
 StepCondition readLoadEnded(const YAML::Node &, const std::string &, Faults &)
 {
-    return [](const Stage &stage) { return stage.loadsEnded(); };
+    return [](const ScenarioContext &context) { return context.loadsEnded(); };
 }
 
 StepCondition readEnded(const YAML::Node &node, const std::string &path, Faults &faults)
 {
     const std::string name = word(node, path, faults);
-    return [name](const Stage &stage) { return !stage.topology().process(name).running(); };
+    return [name](const ScenarioContext &context) {
+        return !context.topology().process(name).running();
+    };
 }
 
-/// {of: ENTRY, by: ENTRY, is: up, suspected or leaving}
+/// Form: {of: ENTRY, by: ENTRY, is: up, suspected or leaving}.
 StepCondition readPeer(const YAML::Node &node, const std::string &path, Faults &faults)
 {
     const std::string of = word(node["of"], path + "/of", faults);
     const std::string by = word(node["by"], path + "/by", faults);
     const std::string state = word(node["is"], path + "/is", faults);
-    return [of, by, state](const Stage &stage) { return stage.peerState(of, by) == state; };
+    return [of, by, state](const ScenarioContext &context) {
+        return context.peerState(of, by) == state;
+    };
 }
 
-/// {at: ENTRY, version: NUMBER}
+/// Form: {at: ENTRY, version: NUMBER}.
 StepCondition readVersion(const YAML::Node &node, const std::string &path, Faults &faults)
 {
     const std::string entry = word(node["at"], path + "/at", faults);
     const std::size_t version = count(node["version"], path + "/version", faults);
-    return [entry, version](const Stage &stage) {
-        const auto status = stage.topology().status(entry);
+    return [entry, version](const ScenarioContext &context) {
+        const auto status = context.topology().status(entry);
         return status && status->settingsVersion >= version;
     };
 }
@@ -87,8 +95,8 @@
 StepCondition readSteward(const YAML::Node &node, const std::string &path, Faults &faults)
 {
     const std::string entry = word(node, path, faults);
-    return [entry](const Stage &stage) {
-        const auto status = stage.topology().status(entry);
+    return [entry](const ScenarioContext &context) {
+        const auto status = context.topology().status(entry);
         return status && status->isSteward;
     };
 }
@@ -106,7 +114,8 @@
     std::vector<StepCondition> conditions;
     if (step.has("at")) {
         const auto at = step.duration("at");
-        conditions.push_back([at](const Stage &stage) { return stage.elapsed() >= at; });
+        conditions.push_back(
+            [at](const ScenarioContext &context) { return context.elapsed() >= at; });
     }
     const YAML::Node when = step.child("when");
     if (!when.IsDefined())
--- a/tests/harness/scenario/condition_reader.hpp
+++ b/tests/harness/scenario/condition_reader.hpp
@@ -10,7 +10,7 @@
 
 using policy::harness::Faults;
 
-/// Reads `at` and `when` of a step.
+/// Reads the conditions of a step from its `at` and `when`.
 std::vector<StepCondition> readConditions(policy::harness::YamlFields &step, Faults &faults);
 
 } // namespace snipestall::harness
--- a/tests/harness/scenario/process_scenario.cpp
+++ b/tests/harness/scenario/process_scenario.cpp
@@ -1,9 +1,9 @@
 #include "harness/scenario/process_scenario.hpp"
 
-#include "harness/scenario/act_reader.hpp"
+#include "harness/scenario/action_reader.hpp"
 #include "harness/scenario/check_reader.hpp"
 #include "harness/scenario/condition_reader.hpp"
-#include "harness/scenario/stage.hpp"
+#include "harness/scenario/scenario_context.hpp"
 #include "harness/scenario/topology_reader.hpp"
 #include "harness/wait_until.hpp"
 
@@ -22,15 +22,15 @@
     ProcessStep step;
     step.path = path;
     step.conditions = readConditions(fields, faults);
-    step.act = readAct(fields, faults);
+    step.action = readAction(fields, faults);
     fields.rejectOthers();
     return step;
 }
 
-bool holds(const ProcessStep &step, const Stage &stage)
+bool holds(const ProcessStep &step, const ScenarioContext &context)
 {
     return std::all_of(step.conditions.begin(), step.conditions.end(),
-                       [&stage](const auto &condition) { return condition(stage); });
+                       [&context](const auto &condition) { return condition(context); });
 }
 
 } // namespace
@@ -49,29 +49,30 @@
         scenario.expectations = readChecks(fields.child("expect"), "expect", faults);
         fields.rejectOthers();
     } catch (const YAML::Exception &error) {
-        faults.push_back({ "", error.what(), "YAML of the form in the design note" });
+        faults.push_back(
+            { "", error.what(), "YAML as described in docs/design/process-scenarios.md" });
     }
     if (!faults.empty())
         return tl::unexpected<Faults>(std::move(faults));
     return scenario;
 }
 
-std::vector<std::string> runScenario(const ProcessScenario &scenario, Stage &stage)
+std::vector<std::string> runScenario(const ProcessScenario &scenario, ScenarioContext &context)
 {
     for (const auto &step : scenario.steps) {
-        if (!waitUntil([&] { return holds(step, stage); }))
-            return { step.path + ": what it waits for was never seen" };
-        if (step.act)
-            step.act(stage);
+        if (!waitUntil([&] { return holds(step, context); }))
+            return { step.path + ": its conditions never held" };
+        if (step.action)
+            step.action(context);
     }
-    std::vector<std::string> wrong;
-    stage.reports();
+    std::vector<std::string> failures;
+    context.reports();
     for (const auto &expectation : scenario.expectations) {
-        auto fault = expectation(stage);
+        auto fault = expectation(context);
         if (fault)
-            wrong.push_back(std::move(*fault));
+            failures.push_back(std::move(*fault));
     }
-    return wrong;
+    return failures;
 }
 
 } // namespace snipestall::harness
--- a/tests/harness/scenario/process_scenario.hpp
+++ b/tests/harness/scenario/process_scenario.hpp
@@ -14,36 +14,37 @@
 
 namespace snipestall::harness {
 
-class Stage;
+class ScenarioContext;
 
-/// Holds once what a step waits for is seen.
-using StepCondition = std::function<bool(const Stage &)>;
+/// Returns true once the event for which a step waits has been observed.
+using StepCondition = std::function<bool(const ScenarioContext &)>;
 
+/// A step of a scenario: waits for its conditions and then carries out its action.
 struct ProcessStep
 {
-    /// As in the file, for the message of a step whose time never comes.
+    /// Path of the step in the file, for the error message if its conditions never hold.
     std::string path;
     std::vector<StepCondition> conditions;
-    /// Empty: the step only waits.
-    std::function<void(Stage &)> act;
+    /// The action; if it is empty, the step only waits.
+    std::function<void(ScenarioContext &)> action;
 };
 
-/// Gives what is wrong, or nothing.
-using ProcessExpectation = std::function<std::optional<std::string>(Stage &)>;
+/// Returns a description of how the expectation failed, or nothing if it holds.
+using ProcessExpectation = std::function<std::optional<std::string>(ScenarioContext &)>;
 
-/// A scripted run over real processes. Its steps come one after another, each once what it waits
-/// for is seen; see docs/design/process-scenarios.md.
+/// A scripted run of real processes. Its steps run one after another, each once its conditions
+/// hold; see docs/design/process-scenarios.md.
 struct ProcessScenario
 {
     TopologySpec topology;
     std::vector<ProcessStep> steps;
     std::vector<ProcessExpectation> expectations;
 
-    /// Every fault in one go, each with its path.
+    /// Parses a scenario. On failure it returns all faults of the text, each with its path.
     static tl::expected<ProcessScenario, std::vector<settings::Fault>> read(std::string_view yaml);
 };
 
-/// Runs the steps to the end of every load; what was not as expected.
-std::vector<std::string> runScenario(const ProcessScenario &scenario, Stage &stage);
+/// Runs the steps, waits until every load has ended and returns the expectations that failed.
+std::vector<std::string> runScenario(const ProcessScenario &scenario, ScenarioContext &context);
 
 } // namespace snipestall::harness
--- a/tests/harness/scenario/stage.hpp
+++ b/tests/harness/scenario/scenario_context.hpp
@@ -11,22 +11,22 @@
 
 namespace snipestall::harness {
 
-/// What the steps of a scenario act on and look at.
-class Stage
+/// The running processes of a scenario, on which its steps act and which its conditions observe.
+class ScenarioContext
 {
 public:
-    explicit Stage(Topology &topology);
+    explicit ScenarioContext(Topology &topology);
 
     [[nodiscard]] Topology &topology() const { return m_topology; }
     void startLoad(const std::string &mix);
     [[nodiscard]] bool loadsEnded() const;
-    /// Waits for every load's end.
+    /// Waits until every load has ended and returns the reports.
     const std::vector<boost::json::object> &reports();
 
     [[nodiscard]] std::chrono::steady_clock::duration elapsed() const;
-    /// Attempts that have not ended, on one engine or on all.
+    /// Number of attempts that have not ended, on one engine or, if `server` is empty, on all.
     [[nodiscard]] std::size_t attemptsRunning(const std::string &server) const;
-    /// State of one entry instance in the eyes of another; empty if it gives none.
+    /// State of entry instance `of` as reported by `by`; empty if `by` reports none.
     [[nodiscard]] std::string peerState(const std::string &of, const std::string &by) const;
 
 private:
--- a/tests/harness/scenario/topology_reader.cpp
+++ b/tests/harness/scenario/topology_reader.cpp
@@ -34,7 +34,7 @@
     return all;
 }
 
-/// {north: 2, south: 1} gives north-1, north-2, south-1.
+/// Reads the entry instances: {north: 2, south: 1} gives north-1, north-2, south-1.
 void readEntries(const YAML::Node &node, TopologySpec &spec)
 {
     for (const auto &dataCentre : node) {
@@ -45,8 +45,8 @@
     }
 }
 
-/// SERVICE: {in: {north: 2}, models: [..], class: .., arguments: [..]} gives SERVICE-north-1 and
-/// SERVICE-north-2.
+/// Reads the backend servers: SERVICE: {in: {north: 2}, models: [..], class: .., arguments: [..]}
+/// gives SERVICE-north-1 and SERVICE-north-2.
 void readServers(const YAML::Node &node, const std::string &path, TopologySpec &spec,
                  Faults &faults)
 {
@@ -87,7 +87,7 @@
     }
 }
 
-/// A file beside the sources, so that a scenario can run a deployment's own tree.
+/// Reads a file of the repository, so that a scenario can run a deployment's own settings tree.
 std::string readSource(const std::string &file, const std::string &path, Faults &faults)
 {
     const std::ifstream stream(std::string(SNIPESTALL_SOURCES) + "/" + file);
--- a/tests/harness/scenario/topology_reader.hpp
+++ b/tests/harness/scenario/topology_reader.hpp
@@ -10,7 +10,7 @@
 
 using policy::harness::Faults;
 
-/// Reads what runs in a scenario; TopologySpec::small() without it.
+/// Reads the topology of a scenario; returns TopologySpec::small() if the node is absent.
 TopologySpec readTopology(const YAML::Node &node, const std::string &path, Faults &faults);
 
 } // namespace snipestall::harness
--- a/tests/harness/scenario/yaml_json.hpp
+++ b/tests/harness/scenario/yaml_json.hpp
@@ -6,7 +6,8 @@
 
 namespace snipestall::harness {
 
-/// A YAML map as a JSON object: words that JSON knows as numbers or truth values become those.
+/// Converts a YAML map to a JSON object. Scalars that are valid JSON, such as numbers and booleans,
+/// keep their JSON type; all others become strings.
 std::string toJson(const YAML::Node &node);
 
 } // namespace snipestall::harness
--- a/tests/harness/settings_text.cpp
+++ b/tests/harness/settings_text.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Models by service; none for a plain one.
+/// Returns the models of each service; a plain service has none.
 std::map<std::string, std::set<std::string>> modelsByService(const TopologySpec &spec)
 {
     std::map<std::string, std::set<std::string>> services;
--- a/tests/harness/temp_dir.cpp
+++ b/tests/harness/temp_dir.cpp
@@ -12,7 +12,7 @@
 {
     std::string pattern = "/tmp/snipestall-test-XXXXXX";
     if (mkdtemp(pattern.data()) == nullptr)
-        throw std::runtime_error("can't make a directory under /tmp");
+        throw std::runtime_error("cannot create a directory under /tmp");
     m_path = pattern;
 }
 
--- a/tests/harness/temp_dir.hpp
+++ b/tests/harness/temp_dir.hpp
@@ -4,7 +4,7 @@
 
 namespace snipestall::harness {
 
-/// A directory of its own under /tmp; removed at the end unless it is to be kept.
+/// A new directory under /tmp. The destructor removes it unless keep() was called.
 class TempDir
 {
 public:
--- a/tests/harness/topology.cpp
+++ b/tests/harness/topology.cpp
@@ -50,19 +50,19 @@
 Result<std::unique_ptr<Topology>> Topology::start(TopologySpec spec)
 {
     std::unique_ptr<Topology> topology(new Topology(std::move(spec)));
-    topology->allocate();
-    topology->describe();
+    topology->allocatePorts();
+    topology->buildProcessSpecs();
     try {
         const std::vector<ProcessSpec> specs = topology->m_processSpecs;
         for (const auto &process : specs)
-            topology->launch(process.name);
+            topology->startProcess(process.name);
     } catch (const std::runtime_error &error) {
         return fail(ErrorKind::Unavailable, error.what());
     }
     return topology;
 }
 
-void Topology::allocate()
+void Topology::allocatePorts()
 {
     m_platformPort = m_ports.take();
     for (const auto &dataCentre : m_spec.dataCentres()) {
@@ -78,7 +78,7 @@
             allocateProxy("callers/" + entry.name, own.callers);
     }
     for (const auto &dataCentre : m_spec.dataCentres())
-        allocateLinks(dataCentre);
+        allocateLinkProxies(dataCentre);
     for (const auto &server : m_spec.servers) {
         m_servers[server.name] = m_ports.take();
         if (m_spec.serversProxied)
@@ -86,7 +86,7 @@
     }
 }
 
-void Topology::allocateLinks(const std::string &from)
+void Topology::allocateLinkProxies(const std::string &from)
 {
     for (const auto &entry : m_spec.entries) {
         if (m_spec.linksProxied && entry.dataCentre != from)
@@ -99,8 +99,9 @@
     m_proxies[name] = { m_ports.take(), m_ports.take(), target };
 }
 
-// Proxies come first: what stands behind them is dialled through them from its first moment.
-void Topology::describe()
+// Proxies are started before the processes behind them, because those processes are reached through
+// them from the start.
+void Topology::buildProcessSpecs()
 {
     ProcessSpec platform { "platform", "standin-platform", m_spec.platformArguments, {} };
     platform.arguments.push_back("--listen=" + address(m_platformPort));
@@ -195,7 +196,7 @@
     return found == m_proxies.end() ? inner : found->second.listen;
 }
 
-void Topology::launch(const std::string &name)
+void Topology::startProcess(const std::string &name)
 {
     const auto spec = std::find_if(m_processSpecs.begin(), m_processSpecs.end(),
                                    [&name](const auto &process) { return process.name == name; });
@@ -224,7 +225,7 @@
 void Topology::waitForPort(const wire::Endpoint &endpoint)
 {
     if (!waitUntil([&endpoint] { return listens(endpoint); }))
-        throw std::runtime_error("nobody listens on " + endpoint.toString() + "\n" + logs());
+        throw std::runtime_error("no process listens on " + endpoint.toString() + "\n" + logs());
 }
 
 Process &Topology::process(const std::string &name)
@@ -238,8 +239,8 @@
 void Topology::restart(const std::string &name)
 {
     if (process(name).running())
-        throw std::runtime_error(name + " still runs");
-    launch(name);
+        throw std::runtime_error(name + " is still running");
+    startProcess(name);
 }
 
 wire::Endpoint Topology::platform() const
--- a/tests/harness/topology.hpp
+++ b/tests/harness/topology.hpp
@@ -24,46 +24,46 @@
 
 namespace snipestall::harness {
 
-/// A whole deployment as real processes on loopback: platform, entry instances, backend servers
-/// and proxies. Orders that can't be carried out throw std::runtime_error and so fail the test.
+/// A whole deployment of real processes on loopback: platform, entry instances, backend servers and
+/// proxies. Operations that fail throw std::runtime_error and so fail the test.
 class Topology
 {
 public:
-    /// Starts everything; ends once each process listens. Settings are not applied yet.
+    /// Starts all processes and returns once each of them listens. Settings are not applied yet.
     static Result<std::unique_ptr<Topology>> start(TopologySpec spec);
     ~Topology();
 
-    // Addresses. Those of callers and servers are their proxies' where there are any.
+    // Addresses. For callers and servers it is the address of the proxy if there is one.
     [[nodiscard]] wire::Endpoint platform() const;
     [[nodiscard]] wire::Endpoint callers(const std::string &entry) const;
     [[nodiscard]] wire::Endpoint operators(const std::string &entry) const;
     [[nodiscard]] wire::Endpoint server(const std::string &name) const;
-    /// `platform/<data centre>`, `peers/<entry>`, `link/<data centre>/<entry>`,
+    /// Proxy with the name `platform/<data centre>`, `peers/<entry>`, `link/<data centre>/<entry>`,
     /// `callers/<entry>` or `server/<name>`.
     [[nodiscard]] ProxyControl proxy(const std::string &name) const;
 
-    /// Loses every byte between two data centres' entry instances; for `linksProxied`. A data
-    /// centre learns the other's addresses from its seeds alone, so no other way is left.
+    /// Drops every byte between the entry instances of two data centres; needs `linksProxied`. A
+    /// data centre knows the other's addresses from its seeds alone, so all traffic is cut.
     void cutDataCentres(const std::string &one, const std::string &other) const;
-    void joinDataCentres(const std::string &one, const std::string &other) const;
+    void reconnectDataCentres(const std::string &one, const std::string &other) const;
 
-    /// By the name in the spec, `platform`, or `proxy:<name>`.
+    /// Returns the process with this name: a name in the spec, `platform` or `proxy:<name>`.
     Process &process(const std::string &name);
-    /// Starts a process that has ended again, at the same addresses.
+    /// Restarts a process that has ended, at the same addresses.
     void restart(const std::string &name);
     void waitForPort(const wire::Endpoint &endpoint);
 
-    /// Puts the spec's settings in force and waits until every entry instance serves with them.
+    /// Applies the spec's settings and waits until every entry instance serves with them.
     void applySettings();
-    /// One change against the present version; the version it gave.
+    /// Makes one change to the current version and returns the resulting version.
     std::uint64_t changeSettings(const std::string &entry, const std::string &path,
                                  const std::string &value);
     [[nodiscard]] std::optional<admin::InstanceStatus> status(const std::string &entry) const;
-    /// Waits until every backend server is up in the eyes of the entry instance that owns it.
+    /// Waits until the owner of every backend server reports the server as up.
     void waitForServers();
-    /// Waits until each entry instance answers an idempotent probe of every model and service:
-    /// owners tell the others of their servers only with the next summaries. The probes are in the
-    /// ledgers too, without a key.
+    /// Waits until each entry instance answers an idempotent probe of every model and service. This
+    /// is necessary because owners report their servers to other instances only with the next
+    /// summaries. The ledgers contain the probes too, without an idempotency key.
     void waitForService();
     void waitForService(const std::string &entry);
 
@@ -71,18 +71,18 @@
     [[nodiscard]] std::int64_t platformCounter(const std::string &name) const;
     void giveNotice(const std::string &name, std::chrono::milliseconds notice) const;
     void controlServer(const std::string &name, const std::string &body) const;
-    /// What engines and services have recorded up to now, killed ones too.
+    /// Records that engines and services, including killed ones, have written so far.
     [[nodiscard]] load::Ledger ledger() const;
     [[nodiscard]] load::Ledger ledgerOf(const std::string &server) const;
 
-    /// Starts snipestall-load against all callers' addresses.
+    /// Starts snipestall-load with the addresses for callers of all entry instances as targets.
     std::unique_ptr<Process> startLoad(const std::string &mix,
                                        const std::vector<std::string> &arguments = {});
-    /// Its JSON report, once it has ended; waits for that.
+    /// Waits until the load has ended and returns its JSON report.
     boost::json::object loadReport(Process &load) const;
 
     [[nodiscard]] const TopologySpec &spec() const { return m_spec; }
-    /// Tail of each process's log, for a test that failed.
+    /// Last part of each process's log, to be printed when a test fails.
     [[nodiscard]] std::string logs() const;
     TempDir &directory() { return m_directory; }
 
@@ -95,18 +95,18 @@
     };
 
     explicit Topology(TopologySpec spec);
-    void allocate();
-    void allocateLinks(const std::string &from);
+    void allocatePorts();
+    void allocateLinkProxies(const std::string &from);
     void allocateProxy(const std::string &name, std::uint16_t target);
-    void describe();
+    void buildProcessSpecs();
     [[nodiscard]] ProcessSpec entryProcess(const EntrySpec &entry);
     [[nodiscard]] ProcessSpec serverProcess(const ServerSpec &server) const;
     [[nodiscard]] ProcessSpec proxyProcess(const std::string &name) const;
     [[nodiscard]] std::string entrySettings(const EntrySpec &entry) const;
     [[nodiscard]] std::string ledgerFile(const std::string &server) const;
-    /// The proxy's port in front of something, or its own without a proxy.
+    /// Returns the proxy's port, or `inner` if there is no such proxy.
     [[nodiscard]] std::uint16_t outerPort(const std::string &proxy, std::uint16_t inner) const;
-    void launch(const std::string &name);
+    void startProcess(const std::string &name);
     [[nodiscard]] wire::Endpoint firstEndpoint(const std::string &name) const;
     [[nodiscard]] std::vector<ProxyControl> links(const std::string &one,
                                                   const std::string &other) const;
@@ -127,7 +127,7 @@
     std::map<std::string, Addresses> m_entries;
     std::map<std::string, std::uint16_t> m_servers;
     std::map<std::string, ProxyPorts> m_proxies;
-    /// In the order in which they are started.
+    /// Processes in the order in which they are started.
     std::vector<ProcessSpec> m_processSpecs;
     std::map<std::string, std::unique_ptr<Process>> m_processes;
     int m_loads = 0;
--- a/tests/harness/topology_control.cpp
+++ b/tests/harness/topology_control.cpp
@@ -48,15 +48,15 @@
     return probe("/services/" + service + "/probe", key, "{}");
 }
 
-std::string changeId()
+std::string nextChangeId()
 {
     static int number = 0;
     ++number;
     return "test-change-" + std::to_string(number);
 }
 
-/// The version that an accepted change gave.
-std::uint64_t accepted(const Result<wire::HttpResponse> &response)
+/// Returns the version that an accepted change resulted in; throws if it was not accepted.
+std::uint64_t acceptedVersion(const Result<wire::HttpResponse> &response)
 {
     if (!response)
         throw std::runtime_error("the change was not answered: " + response.error().message);
@@ -71,13 +71,13 @@
 void Topology::applySettings()
 {
     peer::SettingsChange change;
-    change.id = changeId();
+    change.id = nextChangeId();
     change.reason = "test begins";
     change.yaml = m_spec.settings;
     const auto request =
         keyedRequest("POST", "/settings/changes", BootstrapKey, admin::encodeChange(change));
     const std::string first = m_spec.entries.front().name;
-    const std::uint64_t version = accepted(httpCall(operators(first), request));
+    const std::uint64_t version = acceptedVersion(httpCall(operators(first), request));
     for (const auto &entry : m_spec.entries) {
         if (!waitUntil([&] { return ready(entry.name, version); }))
             throw std::runtime_error(entry.name + " does not serve with version "
@@ -153,15 +153,15 @@
 {
     const auto now = status(entry);
     if (!now)
-        throw std::runtime_error(entry + " gives no status");
+        throw std::runtime_error(entry + " does not report its status");
     peer::SettingsChange change;
-    change.id = changeId();
+    change.id = nextChangeId();
     change.baseVersion = now->settingsVersion;
     change.reason = "test";
     change.edits.push_back({ path, value });
     const auto request =
         keyedRequest("POST", "/settings/changes", m_spec.operatorKey, admin::encodeChange(change));
-    return accepted(httpCall(operators(entry), request));
+    return acceptedVersion(httpCall(operators(entry), request));
 }
 
 std::optional<admin::InstanceStatus> Topology::status(const std::string &entry) const
@@ -172,7 +172,7 @@
         return std::nullopt;
     auto message = admin::decodeStatus(response->body);
     if (!message)
-        throw std::runtime_error("no status: " + message.error().message);
+        throw std::runtime_error("the status is invalid: " + message.error().message);
     return std::move(*message);
 }
 
@@ -194,7 +194,7 @@
         link.drop();
 }
 
-void Topology::joinDataCentres(const std::string &one, const std::string &other) const
+void Topology::reconnectDataCentres(const std::string &one, const std::string &other) const
 {
     for (const auto &link : links(one, other))
         link.heal();
@@ -219,7 +219,7 @@
     body["notice_ms"] = notice.count();
     const auto response = httpPost(platform(), "/cloud/notice", boost::json::serialize(body));
     if (!response || response->status != 204)
-        throw std::runtime_error("no notice for " + name);
+        throw std::runtime_error("the platform gave no notice for " + name);
 }
 
 void Topology::controlServer(const std::string &name, const std::string &body) const
@@ -275,11 +275,11 @@
 {
     constexpr std::chrono::minutes Limit { 10 };
     if (!waitUntil([&load] { return !load.running(); }, Limit))
-        throw std::runtime_error("snipestall-load does not end");
+        throw std::runtime_error("snipestall-load did not end");
     boost::system::error_code ec;
     boost::json::value report = boost::json::parse(load.log(), ec);
     if (ec || !report.is_object())
-        throw std::runtime_error("no report: " + load.log());
+        throw std::runtime_error("snipestall-load wrote no report: " + load.log());
     return std::move(report.as_object());
 }
 
--- a/tests/harness/topology_spec.hpp
+++ b/tests/harness/topology_spec.hpp
@@ -5,13 +5,14 @@
 
 namespace snipestall::harness {
 
+/// An entry instance.
 struct EntrySpec
 {
     std::string name;
     std::string dataCentre;
 };
 
-/// An engine if it has models, a plain service otherwise.
+/// A backend server: an engine if it has models, a plain service otherwise.
 struct ServerSpec
 {
     std::string name {};
@@ -19,37 +20,38 @@
     std::string service;
     std::vector<std::string> models {};
     std::string instanceClass = "spot";
-    /// More arguments for the stand-in, such as "--token_ms=5".
+    /// Additional arguments of the stand-in, such as "--token_ms=5".
     std::vector<std::string> arguments {};
 };
 
-/// What runs in a test, and where proxies stand.
+/// The processes of a test and the places of its proxies.
 struct TopologySpec
 {
     std::vector<EntrySpec> entries;
     std::vector<ServerSpec> servers;
-    /// The settings tree; empty: one made from the rest, see defaultSettings().
+    /// The settings tree as YAML. If it is empty, defaultSettings() makes one from this spec.
     std::string settings;
-    /// Keys of an operator and a customer of that tree.
+    /// API keys of an operator and a customer in the settings tree.
     std::string operatorKey = "test-operator-key";
     std::string customerKey = "test-customer-key";
-    /// A proxy `platform/<data centre>` between each data centre's entry instances and the
+    /// Puts a proxy `platform/<data centre>` between each data centre's entry instances and the
     /// platform.
     bool platformProxied = false;
-    /// A proxy `peers/<entry>` in front of each entry instance's listener for peers.
+    /// Puts a proxy `peers/<entry>` in front of each entry instance's listener for peers.
     bool peersProxied = false;
-    /// A proxy `link/<data centre>/<entry>` on the way from each data centre to each entry instance
-    /// of another one, so that two data centres can be cut from each other alone.
+    /// Puts a proxy `link/<data centre>/<entry>` between each data centre and each entry instance
+    /// of another one, so that a test can cut two data centres from each other and from nothing
+    /// else.
     bool linksProxied = false;
-    /// A proxy `callers/<entry>` in front of each entry instance's listener for callers.
+    /// Puts a proxy `callers/<entry>` in front of each entry instance's listener for callers.
     bool callersProxied = false;
-    /// A proxy `server/<name>` in front of each backend server.
+    /// Puts a proxy `server/<name>` in front of each backend server.
     bool serversProxied = false;
     std::vector<std::string> platformArguments;
 
     [[nodiscard]] std::vector<std::string> dataCentres() const;
-    /// Two data centres `north` and `south` with two entry instances each, three engines and a
-    /// ledger service in each.
+    /// Two data centres `north` and `south` with two entry instances each; three engines in all,
+    /// and a ledger service in each data centre.
     static TopologySpec small();
 };
 
--- a/tests/harness/topology_test_base.cpp
+++ b/tests/harness/topology_test_base.cpp
@@ -10,7 +10,7 @@
     if (!HasFailure() || m_topology == nullptr)
         return;
     m_topology->directory().keep();
-    std::cerr << m_topology->logs() << "kept in " << m_topology->directory().path() << '\n';
+    std::cerr << m_topology->logs() << "files kept in " << m_topology->directory().path() << '\n';
 }
 
 Topology &TopologyTest::start(TopologySpec spec)
--- a/tests/harness/topology_test_base.hpp
+++ b/tests/harness/topology_test_base.hpp
@@ -8,13 +8,14 @@
 
 namespace snipestall::harness {
 
-/// A test over a topology; prints every process's log and keeps its directory if it fails.
+/// Base of tests that run a topology. If the test fails, it prints every process's log and keeps
+/// the topology's directory.
 class TopologyTest : public testing::Test
 {
 protected:
     void TearDown() override;
 
-    /// Starts a topology and puts its settings in force.
+    /// Starts a topology and applies its settings.
     Topology &start(TopologySpec spec);
     Topology &topology() { return *m_topology; }
 
--- a/tests/soak/attempt.hpp
+++ b/tests/soak/attempt.hpp
@@ -11,33 +11,31 @@
 
 /// Kinds of requests that the clients send.
 enum class RequestKind {
-    /// May run once at most.
-    Once,
-    Safe,
-    /// A stream that may be resumed.
-    Stream,
-    /// A stream that may not.
-    Solo,
-    /// To a route that was added during the run.
-    Added,
+    /// A request that may run at most once.
+    NonIdempotent,
+    Idempotent,
+    ResumableStream,
+    NonResumableStream,
+    /// An idempotent request to a route that was added during the run.
+    AddedRoute,
 };
 
-/// One request of a client and what it saw of the answer.
+/// One request of a client and what the client received of the answer.
 struct Attempt
 {
     std::string id;
-    RequestKind kind = RequestKind::Once;
+    RequestKind kind = RequestKind::NonIdempotent;
     std::size_t gateway = 0;
     std::string method;
     std::string target;
     std::uint64_t bodyHash = 0;
     Moment sent;
     Moment ended;
-    /// 0: no answer began.
+    /// HTTP status; 0 if no response head was received.
     int status = 0;
-    /// The answer came to its proper end.
+    /// The response was received to its end without an error.
     bool complete = false;
-    /// No byte of the request left: the gateway could not be reached.
+    /// No byte of the request was sent because the gateway could not be reached.
     bool unsent = false;
     std::string seal;
     std::string echoedId;
--- a/tests/soak/client.cpp
+++ b/tests/soak/client.cpp
@@ -1,6 +1,6 @@
 #include "soak/client.hpp"
 
-#include "soak/world.hpp"
+#include "soak/deployment.hpp"
 
 #include "snipestall/base/rendezvous.hpp"
 #include "snipestall/wire/http_stream.hpp"
@@ -18,10 +18,10 @@
 
 constexpr double MeanPauseMs = 40;
 constexpr milliseconds Deadline { 3500 };
-/// Beyond the longest that a request may stay unanswered: its route's time and half a second.
-constexpr milliseconds Patience { 6000 };
-/// Part of the requests on a connection of their own, in percent.
-constexpr std::uint64_t FreshPercent = 15;
+/// Longer than a request may stay unanswered, which is its route's timeout and half a second.
+constexpr milliseconds AnswerTimeout { 6000 };
+/// Share of the requests that are sent on a connection of their own, in percent.
+constexpr std::uint64_t FreshConnectionPercent = 15;
 
 struct KindEntry
 {
@@ -32,41 +32,44 @@
 };
 
 constexpr std::array<KindEntry, 5> Kinds { {
-    { RequestKind::Once, "POST", "/once/", "/x" },
-    { RequestKind::Safe, "GET", "/safe/", "/x" },
-    { RequestKind::Stream, "POST", "/stream/", "/events" },
-    { RequestKind::Solo, "POST", "/solo/", "/events" },
-    { RequestKind::Added, "GET", "/new", "/x" },
+    { RequestKind::NonIdempotent, "POST", "/once/", "/x" },
+    { RequestKind::Idempotent, "GET", "/safe/", "/x" },
+    { RequestKind::ResumableStream, "POST", "/stream/", "/events" },
+    { RequestKind::NonResumableStream, "POST", "/solo/", "/events" },
+    { RequestKind::AddedRoute, "GET", "/new", "/x" },
 } };
 
 } // namespace
 
-Client::Client(boost::asio::io_context &io, const World &world, std::size_t number,
+Client::Client(boost::asio::io_context &io, const Deployment &deployment, std::size_t number,
                std::uint64_t seed)
-    : m_world(world)
+    : m_deployment(deployment)
     , m_http(io)
     , m_random(seed)
     , m_name("c" + std::to_string(number))
     , m_gateway(number)
 { }
 
-Attempt Client::next()
+Attempt Client::nextAttempt()
 {
-    const auto &added = m_world.addedRoutes();
+    const auto &added = m_deployment.addedRoutes();
     const KindEntry &kind = Kinds.at(m_random.below(added.empty() ? 4 : 5));
     Attempt attempt;
     attempt.id = m_name + "-" + std::to_string(m_attempts.size());
     attempt.kind = kind.kind;
     attempt.method = kind.method;
     attempt.target = kind.prefix;
-    if (kind.kind == RequestKind::Added)
+    if (kind.kind == RequestKind::AddedRoute)
         attempt.target += std::to_string(m_random.below(added.size())) + "/";
-    // Some calls fail, or lose their answer, wherever they run.
-    const std::uint64_t luck = m_random.below(40);
-    const bool call = kind.kind == RequestKind::Once || kind.kind == RequestKind::Safe;
-    attempt.target += call && luck == 0 ? "fail" : call && luck == 1 ? "lose" : "plain";
+    // Some calls fail or lose their answer on whichever backend server they run.
+    const std::uint64_t outcomeDraw = m_random.below(40);
+    const bool call =
+        kind.kind == RequestKind::NonIdempotent || kind.kind == RequestKind::Idempotent;
+    attempt.target += call && outcomeDraw == 0 ? "fail"
+        : call && outcomeDraw == 1             ? "lose"
+                                               : "plain";
     attempt.target += kind.suffix;
-    attempt.gateway = m_gateway % m_world.gateways();
+    attempt.gateway = m_gateway % m_deployment.gateways();
     return attempt;
 }
 
@@ -82,16 +85,17 @@
     request.fields.set("X-Attempt-Id", attempt.id);
     request.fields.set("X-Deadline-Ms", std::to_string(Deadline.count()));
     request.fields.set("Authorization", "Bearer secret");
-    if (attempt.kind == RequestKind::Stream || attempt.kind == RequestKind::Solo) {
+    if (attempt.kind == RequestKind::ResumableStream
+        || attempt.kind == RequestKind::NonResumableStream) {
         request.fields.set("X-Token-Count", "1000,100");
         request.fields.set("X-Prompt-Prefix",
                            "a1:600,b" + std::to_string(m_random.below(9)) + ":400");
     }
     wire::HttpCallOptions options;
     options.connectTimeout = 1s;
-    options.idleTimeout = Patience;
-    options.freshConnection = m_random.below(100) < FreshPercent;
-    const wire::Endpoint gateway = m_world.callersOf(attempt.gateway);
+    options.idleTimeout = AnswerTimeout;
+    options.freshConnection = m_random.below(100) < FreshConnectionPercent;
+    const wire::Endpoint gateway = m_deployment.callerEndpoint(attempt.gateway);
     const auto stream = co_await m_http.open(gateway, std::move(request), options);
     if (!stream) {
         attempt.unsent = stream.error().kind == ErrorKind::Unavailable;
@@ -116,11 +120,11 @@
 wire::Task<void> Client::run()
 {
     while (!m_stopped) {
-        Attempt attempt = next();
+        Attempt attempt = nextAttempt();
         attempt.sent = std::chrono::steady_clock::now();
         co_await send(attempt);
         attempt.ended = std::chrono::steady_clock::now();
-        // As the platform's balancer does, another instance gets the next connection.
+        // The next connection goes to another instance, as with the platform's load balancer.
         if (!attempt.complete || attempt.status == 503 || m_random.below(30) == 0)
             ++m_gateway;
         m_attempts.push_back(std::move(attempt));
--- a/tests/soak/client.hpp
+++ b/tests/soak/client.hpp
@@ -13,24 +13,25 @@
 
 namespace snipestall::soak {
 
-class World;
+class Deployment;
 
-/// One client: sends requests one after the other until it is told to stop. It keeps its
-/// connection for as long as that lasts, also to a gateway that is shutting down.
+/// A client that sends one request after the other until stop() is called. It reuses its
+/// connection for as long as the connection lasts, also to a gateway that is shutting down.
 class Client
 {
 public:
-    Client(boost::asio::io_context &io, const World &world, std::size_t number, std::uint64_t seed);
+    Client(boost::asio::io_context &io, const Deployment &deployment, std::size_t number,
+           std::uint64_t seed);
 
     wire::Task<void> run();
     void stop() { m_stopped = true; }
     [[nodiscard]] const std::vector<Attempt> &attempts() const { return m_attempts; }
 
 private:
-    Attempt next();
+    Attempt nextAttempt();
     wire::Task<void> send(Attempt &attempt);
 
-    const World &m_world;
+    const Deployment &m_deployment;
     wire::HttpClient m_http;
     Random m_random;
     std::string m_name;
--- a/tests/soak/world.hpp
+++ b/tests/soak/deployment.hpp
@@ -16,60 +16,67 @@
 
 namespace snipestall::soak {
 
-struct WorldSize
+/// Number of processes of a run.
+struct DeploymentSize
 {
     std::size_t gateways = 3;
-    /// For each of the two services.
+    /// Backend servers of each of the two services.
     std::size_t backends = 3;
 };
 
-/// The processes of one run: the stand-in store, backend servers and gateways, with a proxy before
-/// each backend server and between each gateway and the store. Carries out faults on them.
-class World
+/// The processes of one run: the stand-in store, backend servers and gateways, with a proxy in
+/// front of each backend server and between each gateway and the store. Injects faults into them.
+class Deployment
 {
 public:
-    explicit World(WorldSize size);
-    ~World();
+    explicit Deployment(DeploymentSize size);
+    ~Deployment();
 
     [[nodiscard]] std::size_t gateways() const { return m_gateways.size(); }
-    [[nodiscard]] wire::Endpoint callersOf(std::size_t gateway) const;
+    [[nodiscard]] wire::Endpoint callerEndpoint(std::size_t gateway) const;
     [[nodiscard]] const std::string &directory() const { return m_directory.path(); }
     [[nodiscard]] std::string runLog() const { return m_directory.file("runs.log"); }
     [[nodiscard]] std::string dutyLog() const { return m_directory.file("duties.log"); }
-    /// Returns once every gateway has been ready.
-    void awaitStart() const;
+    /// Waits until every gateway has reported ready once.
+    void waitUntilReady() const;
     void keepFiles() { m_directory.keep(); }
 
+    /// Injects the fault, and end() removes it.
     void begin(const Fault &fault);
     void end(const Fault &fault);
-    /// Starts what has ended and is to run; to be called often.
-    void revive();
-    /// Processes that ended although nobody ended them.
-    [[nodiscard]] const std::vector<std::string> &unexpectedEnds() const { return m_ends; }
-    /// When each route that was added was acknowledged by the store.
+    /// Restarts processes that have ended but should run. The caller polls this.
+    void restartEnded();
+    /// Processes that ended although no fault ended them.
+    [[nodiscard]] const std::vector<std::string> &unexpectedEnds() const
+    {
+        return m_unexpectedEnds;
+    }
+    /// Times at which the store acknowledged each added route.
     [[nodiscard]] const std::vector<std::chrono::steady_clock::time_point> &addedRoutes() const
     {
-        return m_added;
+        return m_addedRoutes;
     }
 
 private:
+    /// A fault-injecting proxy in front of a process.
     struct Link
     {
         std::unique_ptr<harness::Process> proxy;
         wire::Endpoint endpoint;
         std::unique_ptr<harness::ProxyControl> control;
     };
-    struct Member
+    struct ManagedProcess
     {
         std::unique_ptr<harness::Process> process;
-        /// Meant to be down until its fault is over.
+        /// The process stays down until its fault is over.
         bool down = false;
-        /// Somebody sent it a signal that ends it.
-        bool ending = false;
+        /// The process was sent a signal that ends it.
+        bool endRequested = false;
         int starts = 0;
-        /// The next start is under the id of the last one.
+        /// The next start uses the id of the last one.
         bool keepsId = false;
-        /// Pauses in force: two may overlap, and only the end of the last one resumes.
+        /// Number of pauses in force. Pauses may overlap; the process resumes when the last one
+        /// ends.
         int pauses = 0;
         wire::Endpoint address;
         Link link;
@@ -77,7 +84,7 @@
         wire::Endpoint readiness;
     };
 
-    using Action = void (World::*)(const Fault &fault);
+    using Action = void (Deployment::*)(const Fault &fault);
     struct ActionEntry
     {
         FaultKind kind;
@@ -92,18 +99,25 @@
     Link startProxy(const std::string &name, const wire::Endpoint &target);
     std::unique_ptr<harness::Process> start(const std::string &name, const std::string &program,
                                             std::vector<std::string> arguments);
-    wire::Endpoint newEndpoint();
-    /// False if the store did not take the configuration; it is tried again.
+    wire::Endpoint allocateEndpoint();
+    /// Writes the configuration to the store. Returns false if the store did not accept it; the
+    /// caller tries again.
     bool publish();
     [[nodiscard]] std::string gatewaySettings(std::size_t index, const wire::Endpoint &callers);
-    void storeFaults(const std::string &body) const;
-    static void pause(Member &member);
-    static void resume(Member &member);
-    void reviveMember(Member &member, const std::string &name, std::size_t index,
-                      void (World::*restart)(std::size_t));
+    void setStoreFaults(const std::string &body) const;
+    static void pause(ManagedProcess &managed);
+    static void resume(ManagedProcess &managed);
+    void restartIfEnded(ManagedProcess &managed, const std::string &name, std::size_t index,
+                        void (Deployment::*restart)(std::size_t));
 
-    Member &gateway(const Fault &fault) { return m_gateways[fault.target % m_gateways.size()]; }
-    Member &backend(const Fault &fault) { return m_backends[fault.target % m_backends.size()]; }
+    ManagedProcess &gateway(const Fault &fault)
+    {
+        return m_gateways[fault.target % m_gateways.size()];
+    }
+    ManagedProcess &backend(const Fault &fault)
+    {
+        return m_backends[fault.target % m_backends.size()];
+    }
 
     void killGateway(const Fault &fault);
     void restoreGateway(const Fault &fault);
@@ -115,7 +129,7 @@
     void killBackend(const Fault &fault);
     void killBackendThatKeepsItsId(const Fault &fault);
     void restoreBackend(const Fault &fault);
-    void backendLeaves(const Fault &fault);
+    void stopBackend(const Fault &fault);
     void pauseBackend(const Fault &fault);
     void resumeBackend(const Fault &fault);
     void silenceBackendLink(const Fault &fault);
@@ -129,26 +143,26 @@
     void slowStoreLink(const Fault &fault);
     void healStoreLink(const Fault &fault);
     void makeStoreBusy(const Fault &fault);
-    void makeStoreLose(const Fault &fault);
+    void makeStoreLoseAnswers(const Fault &fault);
     void healStore(const Fault &fault);
     void pauseStore(const Fault &fault);
     void resumeStore(const Fault &fault);
     void dropHistory(const Fault &fault);
     void writeJunk(const Fault &fault);
     void changeConfiguration(const Fault &fault);
-    void nothing(const Fault &fault);
+    void noAction(const Fault &fault);
 
     harness::TempDir m_directory;
     harness::PortPool m_ports;
-    WorldSize m_size;
+    DeploymentSize m_size;
     wire::Endpoint m_storeAddress;
-    /// Only its process and its pauses are used.
-    Member m_store;
-    std::vector<Member> m_gateways;
-    std::vector<Member> m_backends;
-    std::vector<std::string> m_ends;
+    /// Only its `process` and `pauses` are used.
+    ManagedProcess m_store;
+    std::vector<ManagedProcess> m_gateways;
+    std::vector<ManagedProcess> m_backends;
+    std::vector<std::string> m_unexpectedEnds;
     std::size_t m_extraRoutes = 0;
-    std::vector<std::chrono::steady_clock::time_point> m_added;
+    std::vector<std::chrono::steady_clock::time_point> m_addedRoutes;
     int m_version = 1;
 };
 
--- a/tests/soak/fault_plan.cpp
+++ b/tests/soak/fault_plan.cpp
@@ -16,7 +16,7 @@
     FaultKind kind;
     const char *name;
     bool planned;
-    /// Shortest and longest duration.
+    /// Shortest and longest duration of the fault.
     milliseconds shortest;
     milliseconds longest;
 };
@@ -62,13 +62,14 @@
                          [kind](const KindEntry &entry) { return entry.kind == kind; });
 }
 
-/// Instances and backend servers have started by then.
+/// The first fault begins at this time, when instances and backend servers have started.
 constexpr milliseconds FirstFault { 1500 };
-/// Half a second between the begins of two faults on average, so that some overlap and some don't.
-constexpr double MeanPause = 700;
+/// Mean interval in ms between the beginnings of two drawn faults, so that some faults overlap and
+/// some don't.
+constexpr double MeanIntervalMs = 700;
 
-/// Faults that the store's own control carries out; a paused store would hold up whoever asks.
-bool needsStore(FaultKind kind)
+/// Whether the store itself carries out the fault. A paused store would block the request for it.
+bool needsStoreControl(FaultKind kind)
 {
     return kind == FaultKind::StoreBusy || kind == FaultKind::StoreLosesAnswers
         || kind == FaultKind::StoreDropsHistory || kind == FaultKind::StoreJunk
@@ -78,11 +79,12 @@
 bool overlapsPause(const Fault &fault, const std::vector<Fault> &others)
 {
     return std::any_of(others.begin(), others.end(), [&fault](const Fault &other) {
-        const bool meet = fault.begin <= other.end && other.begin <= fault.end;
-        const bool pauses =
+        const bool overlap = fault.begin <= other.end && other.begin <= fault.end;
+        const bool involvesPause =
             fault.kind == FaultKind::StorePaused || other.kind == FaultKind::StorePaused;
-        const bool control = needsStore(fault.kind) || needsStore(other.kind);
-        return meet && pauses && control;
+        const bool involvesStoreControl =
+            needsStoreControl(fault.kind) || needsStoreControl(other.kind);
+        return overlap && involvesPause && involvesStoreControl;
     });
 }
 
@@ -103,7 +105,7 @@
     Random random(seed);
     std::vector<Fault> faults;
     milliseconds at = FirstFault;
-    // Some runs hold planned work only: there no answer at all may be lost.
+    // Some runs contain planned work only; in these runs no answer at all may be lost.
     const bool plannedOnly = random.below(4) == 0;
     while (at < quietFrom) {
         const KindEntry &entry = Kinds.at(random.below(Kinds.size()));
@@ -113,7 +115,7 @@
         const Fault fault { entry.kind, random.below(1000), at, std::min(at + length, quietFrom) };
         if ((!plannedOnly || entry.planned) && !overlapsPause(fault, faults))
             faults.push_back(fault);
-        at += milliseconds(static_cast<std::int64_t>(random.exponential(MeanPause)));
+        at += milliseconds(static_cast<std::int64_t>(random.exponential(MeanIntervalMs)));
     }
     return faults;
 }
--- a/tests/soak/fault_plan.hpp
+++ b/tests/soak/fault_plan.hpp
@@ -8,16 +8,17 @@
 
 namespace snipestall::soak {
 
+/// Faults and planned changes that a run may contain.
 enum class FaultKind {
     GatewayKilled,
     AllGatewaysKilled,
-    /// SIGTERM, as in a planned roll-out.
+    /// The gateway gets SIGTERM, as in a planned rollout.
     GatewayStopped,
     GatewayPaused,
     BackendKilled,
-    /// Killed, and started again under the id that it had.
+    /// The backend server is killed and started again with the same id.
     BackendReborn,
-    /// SIGTERM: it says that it leaves, and goes some seconds later.
+    /// The backend server gets SIGTERM: it announces that it leaves and exits some seconds later.
     BackendLeaves,
     BackendPaused,
     BackendLinkSilent,
@@ -32,27 +33,27 @@
     StoreLosesAnswers,
     StorePaused,
     StoreDropsHistory,
-    /// Another program writes into the table of the backend servers, over some entries, too.
+    /// Another program writes into the table of the backend servers and overwrites some entries.
     StoreJunk,
     ConfigurationChanges,
 };
 
-/// One fault: what is done to which process or link, from when to when of the run.
+/// A fault of a process or link; its beginning and end are relative to the start of the run.
 struct Fault
 {
     FaultKind kind = FaultKind::GatewayKilled;
-    /// Picks the process or link among those of its kind, by remainder.
+    /// Selects the process or link: the index is the remainder modulo the number of its kind.
     std::size_t target = 0;
     std::chrono::milliseconds begin { 0 };
     std::chrono::milliseconds end { 0 };
 };
 
 std::string nameOf(FaultKind kind);
-/// Work that operators plan: no caller may lose an answer by it.
+/// Whether operators plan this work; no caller may lose an answer because of it.
 bool isPlanned(FaultKind kind);
 
-/// Faults of a run of this length, drawn from the seed: in series and overlapping, none after
-/// `quietFrom`. The first seconds are left to the start.
+/// Draws the faults of a run from the seed. Faults may follow one another or overlap. None lasts
+/// beyond `quietFrom`, and none begins in the first 1.5 s, while the processes start.
 std::vector<Fault> drawFaults(std::uint64_t seed, std::chrono::milliseconds quietFrom);
 
 } // namespace snipestall::soak
--- a/tests/soak/judge.cpp
+++ b/tests/soak/judge.cpp
@@ -18,27 +18,27 @@
 
 namespace {
 
-/// After a fault an instance needs this long until its promises hold again.
+/// Time that an instance needs after a fault until its guarantees hold again.
 constexpr milliseconds ContactMargin { 3000 };
-/// From the acknowledgement of a configuration until it is in force.
-constexpr milliseconds ApplyBound { 2000 };
-/// Part of the requests of the quiet end that must be served.
-constexpr double ServedInTheEnd = 0.95;
-/// The quiet end begins to count this long after the last fault.
-constexpr milliseconds RecoveredAfter { 6000 };
-constexpr std::size_t FewestToJudge = 20;
-
-bool mayRunOnce(RequestKind kind)
+/// Longest time from the acknowledgement of a configuration until it is in force.
+constexpr milliseconds ApplyLimit { 2000 };
+/// Share of the requests of the quiet period that must be served.
+constexpr double MinServedShare = 0.95;
+/// Requests of the quiet period count from this time after the last fault.
+constexpr milliseconds RecoveryTime { 6000 };
+constexpr std::size_t MinRequestsToJudge = 20;
+
+bool runsAtMostOnce(RequestKind kind)
 {
-    return kind == RequestKind::Once || kind == RequestKind::Solo;
+    return kind == RequestKind::NonIdempotent || kind == RequestKind::NonResumableStream;
 }
 
 bool isStream(RequestKind kind)
 {
-    return kind == RequestKind::Stream || kind == RequestKind::Solo;
+    return kind == RequestKind::ResumableStream || kind == RequestKind::NonResumableStream;
 }
 
-bool saysNotRun(const Attempt &attempt)
+bool reportsNotRun(const Attempt &attempt)
 {
     constexpr std::array<int, 4> Statuses { 408, 421, 429, 503 };
     return attempt.seal.empty()
@@ -51,9 +51,9 @@
     : m_record(record)
 { }
 
-void Judge::found(const Attempt &attempt, const std::string &what)
+void Judge::addFinding(const Attempt &attempt, const std::string &what)
 {
-    const auto at = std::chrono::duration_cast<milliseconds>(attempt.sent - m_record.begun);
+    const auto at = std::chrono::duration_cast<milliseconds>(attempt.sent - m_record.startedAt);
     const auto took = std::chrono::duration_cast<milliseconds>(attempt.ended - attempt.sent);
     m_findings.push_back(what + ": " + attempt.id + " " + attempt.target + " at gateway "
                          + std::to_string(attempt.gateway) + ", sent at "
@@ -62,11 +62,11 @@
                          + (attempt.complete ? ", complete" : ", cut"));
 }
 
-bool Judge::disturbed(Moment from, Moment to, milliseconds margin) const
+bool Judge::unplannedFaultWithin(Moment from, Moment to, milliseconds margin) const
 {
     return std::any_of(m_record.faults.begin(), m_record.faults.end(), [&](const Fault &fault) {
-        return !isPlanned(fault.kind) && m_record.begun + fault.begin <= to
-            && m_record.begun + fault.end + margin >= from;
+        return !isPlanned(fault.kind) && m_record.startedAt + fault.begin <= to
+            && m_record.startedAt + fault.end + margin >= from;
     });
 }
 
@@ -120,16 +120,16 @@
 
 void Judge::judgeRuns(const Attempt &attempt, const std::vector<Run> &runs)
 {
-    if (mayRunOnce(attempt.kind) && runs.size() > 1)
-        found(attempt, "ran " + std::to_string(runs.size()) + " times");
-    if (mayRunOnce(attempt.kind) && saysNotRun(attempt) && !runs.empty())
-        found(attempt, "was said not to have run, though it had");
+    if (runsAtMostOnce(attempt.kind) && runs.size() > 1)
+        addFinding(attempt, "ran " + std::to_string(runs.size()) + " times");
+    if (runsAtMostOnce(attempt.kind) && reportsNotRun(attempt) && !runs.empty())
+        addFinding(attempt, "was said not to have run, though it had");
     for (const Run &run : runs) {
         if (run.method != attempt.method || run.target != attempt.target
             || run.bodyHash != attempt.bodyHash)
-            found(attempt, "was run with something changed");
+            addFinding(attempt, "was run with something changed");
         if (run.customer != "harbour" || run.key != "no-key")
-            found(attempt, "was run for another customer, or with the key");
+            addFinding(attempt, "was run for another customer, or with the key");
     }
 }
 
@@ -138,29 +138,30 @@
     if (attempt.status == 0)
         return;
     if (!attempt.echoedId.empty() && attempt.echoedId != attempt.id)
-        found(attempt, "got the answer to " + attempt.echoedId);
+        addFinding(attempt, "got the answer to " + attempt.echoedId);
     if (attempt.status == 200) {
         const bool sealed = std::any_of(runs.begin(), runs.end(), [&attempt](const Run &run) {
             return attempt.seal == run.server + "." + attempt.id;
         });
         if (!sealed)
-            found(attempt, "got a success that no server gave");
+            addFinding(attempt, "got a success that no server gave");
         if (attempt.complete && !isStream(attempt.kind)
             && attempt.body != "answer to " + attempt.id)
-            found(attempt, "got another body");
+            addFinding(attempt, "got another body");
     }
     if (attempt.status == 401 || attempt.status == 403)
-        found(attempt, "was denied");
+        addFinding(attempt, "was denied");
     if (attempt.status == 404) {
         const std::size_t number =
-            attempt.kind == RequestKind::Added ? std::atoi(attempt.target.c_str() + 4) : 0;
-        const bool due = attempt.kind != RequestKind::Added
-            || attempt.sent > m_record.addedRoutes.at(number) + ApplyBound;
-        if (due && !disturbed(attempt.sent - ContactMargin, attempt.ended, ContactMargin))
-            found(attempt, "met a configuration that is no longer in force");
+            attempt.kind == RequestKind::AddedRoute ? std::atoi(attempt.target.c_str() + 4) : 0;
+        const bool due = attempt.kind != RequestKind::AddedRoute
+            || attempt.sent > m_record.addedRoutes.at(number) + ApplyLimit;
+        if (due
+            && !unplannedFaultWithin(attempt.sent - ContactMargin, attempt.ended, ContactMargin))
+            addFinding(attempt, "met a configuration that is no longer in force");
     }
-    if (saysNotRun(attempt) && !attempt.hasRetryAfter)
-        found(attempt, "was refused without a time to come back");
+    if (reportsNotRun(attempt) && !attempt.hasRetryAfter)
+        addFinding(attempt, "was refused without a time to come back");
 }
 
 void Judge::judgeStream(const Attempt &attempt)
@@ -170,25 +171,25 @@
     bool done = false;
     for (const wire::StreamEvent &event : parser.feed(attempt.body)) {
         if (std::atoi(event.id.c_str()) != last + 1)
-            found(attempt, "has event " + event.id + " after " + std::to_string(last));
+            addFinding(attempt, "has event " + event.id + " after " + std::to_string(last));
         last = std::atoi(event.id.c_str());
         done = event.data == "done " + attempt.id;
         if (!done && event.data != "piece " + attempt.id)
-            found(attempt, "has an event of another answer");
+            addFinding(attempt, "has an event of another answer");
     }
     if (attempt.complete && !done)
-        found(attempt, "ended as complete before its last event");
+        addFinding(attempt, "ended as complete before its last event");
 }
 
 void Judge::judgeLoss(const Attempt &attempt, const std::vector<Run> &runs)
 {
-    if (disturbed(attempt.sent, attempt.ended, ContactMargin))
+    if (unplannedFaultWithin(attempt.sent, attempt.ended, ContactMargin))
         return;
     const bool provoked = attempt.target.find("lose") != std::string::npos;
     if (!attempt.complete && !runs.empty() && !provoked)
-        found(attempt, "lost its answer though nothing but planned work went on");
+        addFinding(attempt, "lost its answer though nothing but planned work went on");
     if (attempt.ended - attempt.sent > 5s)
-        found(attempt, "stayed unanswered beyond its route's time");
+        addFinding(attempt, "stayed unanswered beyond its route's time");
 }
 
 void Judge::judgeRecovery()
@@ -196,14 +197,14 @@
     std::size_t asked = 0;
     std::size_t served = 0;
     for (const Attempt &attempt : m_record.attempts) {
-        const bool late = attempt.sent >= m_record.begun + m_record.quietFrom + RecoveredAfter;
+        const bool late = attempt.sent >= m_record.startedAt + m_record.quietFrom + RecoveryTime;
         if (!late || attempt.target.find("plain") == std::string::npos)
             continue;
         ++asked;
         served += attempt.status == 200 && attempt.complete ? 1 : 0;
     }
-    if (asked >= FewestToJudge
-        && static_cast<double>(served) < ServedInTheEnd * static_cast<double>(asked))
+    if (asked >= MinRequestsToJudge
+        && static_cast<double>(served) < MinServedShare * static_cast<double>(asked))
         m_findings.push_back("only " + std::to_string(served) + " of " + std::to_string(asked)
                              + " requests are served when all faults are over");
 }
--- a/tests/soak/judge.hpp
+++ b/tests/soak/judge.hpp
@@ -11,12 +11,12 @@
 
 namespace snipestall::soak {
 
-/// What one run was like, for the judge.
+/// Everything that the judge needs to know about one run.
 struct RunRecord
 {
-    Moment begun;
+    Moment startedAt;
     std::vector<Fault> faults;
-    /// From when on no fault is in force.
+    /// Time since the start of the run after which no fault is in force.
     std::chrono::milliseconds quietFrom { 0 };
     std::vector<Attempt> attempts;
     std::vector<Moment> addedRoutes;
@@ -25,8 +25,8 @@
     std::vector<std::string> unexpectedEnds;
 };
 
-/// Compares what callers saw with what backend servers ran and what duties were called; one line
-/// for each promise that was broken.
+/// Compares the answers that callers received with the requests that backend servers ran and with
+/// the calls of duties. Reports one line for each guarantee that was violated.
 class Judge
 {
 public:
@@ -53,9 +53,11 @@
     void judgeLoss(const Attempt &attempt, const std::vector<Run> &runs);
     void judgeRecovery();
     void judgeDuties();
-    /// Whether an unplanned fault was in force, or was over for less than `margin`.
-    [[nodiscard]] bool disturbed(Moment from, Moment to, std::chrono::milliseconds margin) const;
-    void found(const Attempt &attempt, const std::string &what);
+    /// Whether an unplanned fault was in force between `from` and `to`, or had ended less than
+    /// `margin` before `from`.
+    [[nodiscard]] bool unplannedFaultWithin(Moment from, Moment to,
+                                            std::chrono::milliseconds margin) const;
+    void addFinding(const Attempt &attempt, const std::string &what);
 
     const RunRecord &m_record;
     std::map<std::string, std::vector<Run>> m_runs;
--- a/tests/soak/judge_test.cpp
+++ b/tests/soak/judge_test.cpp
@@ -1,4 +1,4 @@
-// Each check of the judge is shown a run that breaks its promise, and one that keeps it.
+// Tests each check of the judge with a run that violates its guarantee and one that keeps it.
 
 #include "soak/judge.hpp"
 
@@ -15,7 +15,7 @@
 class JudgeTest : public Test
 {
 protected:
-    JudgeTest() { m_record.begun = Moment(1000s); }
+    JudgeTest() { m_record.startedAt = Moment(1000s); }
 
     Attempt &attempt(RequestKind kind, const std::string &target)
     {
@@ -25,7 +25,7 @@
         made.method = "POST";
         made.target = target;
         made.bodyHash = 5;
-        made.sent = m_record.begun + 4s;
+        made.sent = m_record.startedAt + 4s;
         made.ended = made.sent + 50ms;
         made.status = 200;
         made.complete = true;
@@ -42,7 +42,7 @@
         m_record.runLog += "run c1-0 " + server + " POST " + target + " " + rest + "\n";
     }
 
-    /// The findings in one line; empty if there are none.
+    /// Returns the findings in one line; empty if there are none.
     std::string findings()
     {
         std::string all;
@@ -58,22 +58,22 @@
 
 TEST_F(JudgeTest, AnOrdinaryRunHasNoFindings)
 {
-    attempt(RequestKind::Once, "/once/plain/x");
+    attempt(RequestKind::NonIdempotent, "/once/plain/x");
     ran("b1", "/once/plain/x");
     EXPECT_EQ(findings(), "");
 }
 
 TEST_F(JudgeTest, FindsARequestThatRanTwice)
 {
-    attempt(RequestKind::Once, "/once/plain/x");
+    attempt(RequestKind::NonIdempotent, "/once/plain/x");
     ran("b1", "/once/plain/x");
     ran("b2", "/once/plain/x");
     EXPECT_TRUE(finds("ran 2 times"));
 }
 
-TEST_F(JudgeTest, FindsAFalseNotRun)
+TEST_F(JudgeTest, FindsARunRequestReportedAsNotRun)
 {
-    Attempt &refused = attempt(RequestKind::Once, "/once/plain/x");
+    Attempt &refused = attempt(RequestKind::NonIdempotent, "/once/plain/x");
     refused.status = 503;
     refused.seal.clear();
     refused.hasRetryAfter = true;
@@ -84,7 +84,7 @@
 
 TEST_F(JudgeTest, FindsChangedRequestsAndTheKey)
 {
-    attempt(RequestKind::Once, "/once/plain/x");
+    attempt(RequestKind::NonIdempotent, "/once/plain/x");
     ran("b1", "/once/other/x");
     EXPECT_TRUE(finds("something changed"));
     m_record.runLog.clear();
@@ -92,7 +92,7 @@
     EXPECT_TRUE(finds("with the key"));
 }
 
-TEST_F(JudgeTest, FindsWhatNoClientSent)
+TEST_F(JudgeTest, FindsARunThatNoClientSent)
 {
     m_record.runLog = "run c9-9 b1 POST /once/plain/x harbour no-key 5\n";
     EXPECT_TRUE(finds("no client sent: c9-9"));
@@ -100,7 +100,7 @@
 
 TEST_F(JudgeTest, FindsAnotherAnswerAndOneThatNoServerGave)
 {
-    Attempt &mixed = attempt(RequestKind::Safe, "/safe/plain/x");
+    Attempt &mixed = attempt(RequestKind::Idempotent, "/safe/plain/x");
     ran("b1", "/safe/plain/x");
     mixed.body = "answer to c1-1";
     EXPECT_TRUE(finds("another body"));
@@ -112,7 +112,7 @@
 
 TEST_F(JudgeTest, FindsStreamsWithGapsRepeatsAndFalseEnds)
 {
-    Attempt &stream = attempt(RequestKind::Stream, "/stream/plain/events");
+    Attempt &stream = attempt(RequestKind::ResumableStream, "/stream/plain/events");
     ran("b1", "/stream/plain/events");
     stream.body = "id: 1\ndata: piece c1-0\n\nid: 2\ndata: done c1-0\n\n";
     EXPECT_EQ(findings(), "");
@@ -126,7 +126,7 @@
 
 TEST_F(JudgeTest, FindsAnAnswerLostToPlannedWorkOnly)
 {
-    Attempt &cut = attempt(RequestKind::Once, "/once/plain/x");
+    Attempt &cut = attempt(RequestKind::NonIdempotent, "/once/plain/x");
     ran("b1", "/once/plain/x");
     cut.complete = false;
     m_record.faults.push_back({ FaultKind::GatewayStopped, 0, 3500ms, 12000ms });
@@ -137,17 +137,17 @@
 
 TEST_F(JudgeTest, FindsAnOldConfiguration)
 {
-    Attempt &old = attempt(RequestKind::Added, "/new0/plain/x");
+    Attempt &old = attempt(RequestKind::AddedRoute, "/new0/plain/x");
     old.status = 404;
-    m_record.addedRoutes = { m_record.begun + 3s };
+    m_record.addedRoutes = { m_record.startedAt + 3s };
     EXPECT_EQ(findings(), "");
-    m_record.addedRoutes = { m_record.begun + 1s };
+    m_record.addedRoutes = { m_record.startedAt + 1s };
     EXPECT_TRUE(finds("no longer in force"));
 }
 
-TEST_F(JudgeTest, FindsRefusalsWithoutATimeAndDenials)
+TEST_F(JudgeTest, FindsDenialsAndRefusalsWithoutRetryAfter)
 {
-    Attempt &refused = attempt(RequestKind::Safe, "/safe/plain/x");
+    Attempt &refused = attempt(RequestKind::Idempotent, "/safe/plain/x");
     refused.status = 429;
     refused.seal.clear();
     EXPECT_TRUE(finds("without a time to come back"));
@@ -155,12 +155,12 @@
     EXPECT_TRUE(finds("was denied"));
 }
 
-TEST_F(JudgeTest, FindsThatServiceIsNotBackInTheEnd)
+TEST_F(JudgeTest, FindsThatServiceDoesNotRecover)
 {
     m_record.quietFrom = 1s;
     for (int i = 0; i < 40; ++i) {
-        Attempt &late = attempt(RequestKind::Safe, "/safe/plain/x");
-        late.sent = m_record.begun + 9s;
+        Attempt &late = attempt(RequestKind::Idempotent, "/safe/plain/x");
+        late.sent = m_record.startedAt + 9s;
         late.ended = late.sent + 10ms;
         late.status = i < 20 ? 200 : 503;
         late.hasRetryAfter = true;
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -1,12 +1,12 @@
-// Randomized soak of the gateway: real processes, faults from outside, promises checked.
+// Randomized soak of the gateway: runs real processes, injects faults and checks the guarantees.
 //
 //     snipestall-soak --seed 7 --seconds 30
 //
-// Exit code 0: no promise was broken; 1: some were, the files of the run are kept.
+// Exit code 0: no guarantee was violated. 1: some were; the files of the run are kept.
 
 #include "soak/client.hpp"
+#include "soak/deployment.hpp"
 #include "soak/judge.hpp"
-#include "soak/world.hpp"
 
 #include "harness/temp_dir.hpp"
 #include "snipestall/wire/signal.hpp"
@@ -20,11 +20,11 @@
 #include <memory>
 #include <vector>
 
-DEFINE_uint64(seed, 1, "draws the faults and the requests");
-DEFINE_int32(seconds, 30, "length of the run; the last twelve are quiet");
-DEFINE_uint64(gateways, 3, "gateway processes");
-DEFINE_uint64(backends, 3, "backend servers of each of the two services");
-DEFINE_uint64(clients, 16, "clients, one request at a time each");
+DEFINE_uint64(seed, 1, "seed of the faults and the requests");
+DEFINE_int32(seconds, 30, "length of the run in seconds; no fault is in force in the last 12");
+DEFINE_uint64(gateways, 3, "number of gateway processes");
+DEFINE_uint64(backends, 3, "number of backend servers of each of the two services");
+DEFINE_uint64(clients, 16, "number of clients; each sends one request at a time");
 
 using namespace snipestall;
 using namespace snipestall::soak;
@@ -32,10 +32,10 @@
 
 namespace {
 
-constexpr milliseconds Tick { 50 };
-constexpr milliseconds QuietEnd { 12000 };
+constexpr milliseconds PollInterval { 50 };
+constexpr milliseconds QuietPeriod { 12000 };
 
-/// A fault's begin or end.
+/// The beginning or end of a fault.
 struct Step
 {
     milliseconds at { 0 };
@@ -55,52 +55,52 @@
     return steps;
 }
 
-wire::Task<void> direct(World &world, const RunRecord &record, milliseconds length,
-                        std::vector<std::unique_ptr<Client>> &clients, int &running)
+wire::Task<void> driveRun(Deployment &deployment, const RunRecord &record, milliseconds length,
+                          std::vector<std::unique_ptr<Client>> &clients, int &runningClients)
 {
     const std::vector<Step> steps = stepsOf(record.faults);
     std::size_t next = 0;
-    while (std::chrono::steady_clock::now() < record.begun + length) {
+    while (std::chrono::steady_clock::now() < record.startedAt + length) {
         while (next < steps.size()
-               && std::chrono::steady_clock::now() >= record.begun + steps[next].at) {
+               && std::chrono::steady_clock::now() >= record.startedAt + steps[next].at) {
             const Step &step = steps[next++];
             std::cout << step.at.count() << " ms: " << nameOf(step.fault->kind)
                       << (step.begins ? " begins " : " ends ") << step.fault->target << std::endl;
             if (step.begins)
-                world.begin(*step.fault);
+                deployment.begin(*step.fault);
             else
-                world.end(*step.fault);
+                deployment.end(*step.fault);
         }
-        world.revive();
-        co_await wire::sleepFor(Tick);
+        deployment.restartEnded();
+        co_await wire::sleepFor(PollInterval);
     }
     for (const auto &client : clients)
         client->stop();
-    while (running > 0)
-        co_await wire::sleepFor(Tick);
+    while (runningClients > 0)
+        co_await wire::sleepFor(PollInterval);
 }
 
-wire::Task<void> runClient(Client &client, int &running)
+wire::Task<void> runClient(Client &client, int &runningClients)
 {
     co_await client.run();
-    --running;
+    --runningClients;
 }
 
-RunRecord play(World &world)
+RunRecord runSoak(Deployment &deployment)
 {
     boost::asio::io_context io(1);
     RunRecord record;
     const milliseconds length = std::chrono::seconds(FLAGS_seconds);
-    record.quietFrom = length - QuietEnd;
+    record.quietFrom = length - QuietPeriod;
     record.faults = drawFaults(FLAGS_seed, record.quietFrom);
     std::vector<std::unique_ptr<Client>> clients;
     for (std::size_t i = 0; i < FLAGS_clients; ++i)
-        clients.push_back(std::make_unique<Client>(io, world, i, FLAGS_seed * 1000 + i));
-    int running = static_cast<int>(clients.size());
-    record.begun = std::chrono::steady_clock::now();
+        clients.push_back(std::make_unique<Client>(io, deployment, i, FLAGS_seed * 1000 + i));
+    int runningClients = static_cast<int>(clients.size());
+    record.startedAt = std::chrono::steady_clock::now();
     for (const auto &client : clients)
-        boost::asio::co_spawn(io, runClient(*client, running), boost::asio::detached);
-    boost::asio::co_spawn(io, direct(world, record, length, clients, running),
+        boost::asio::co_spawn(io, runClient(*client, runningClients), boost::asio::detached);
+    boost::asio::co_spawn(io, driveRun(deployment, record, length, clients, runningClients),
                           [&io](const std::exception_ptr &error) {
                               io.stop();
                               if (error)
@@ -110,10 +110,10 @@
     for (const auto &client : clients)
         record.attempts.insert(record.attempts.end(), client->attempts().begin(),
                                client->attempts().end());
-    record.addedRoutes = world.addedRoutes();
-    record.unexpectedEnds = world.unexpectedEnds();
-    record.runLog = harness::readFile(world.runLog());
-    record.dutyLog = harness::readFile(world.dutyLog());
+    record.addedRoutes = deployment.addedRoutes();
+    record.unexpectedEnds = deployment.unexpectedEnds();
+    record.runLog = harness::readFile(deployment.runLog());
+    record.dutyLog = harness::readFile(deployment.dutyLog());
     return record;
 }
 
@@ -123,9 +123,9 @@
 {
     gflags::SetUsageMessage("randomized soak of snipestall-gateway");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
-    World world({ FLAGS_gateways, FLAGS_backends });
-    world.awaitStart();
-    const RunRecord record = play(world);
+    Deployment deployment({ FLAGS_gateways, FLAGS_backends });
+    deployment.waitUntilReady();
+    const RunRecord record = runSoak(deployment);
     std::size_t served = 0;
     for (const Attempt &attempt : record.attempts)
         served += attempt.status == 200 && attempt.complete ? 1 : 0;
@@ -137,7 +137,7 @@
               << " findings\n";
     if (findings.empty())
         return 0;
-    world.keepFiles();
-    std::cout << "files kept in " << world.directory() << '\n';
+    deployment.keepFiles();
+    std::cout << "files kept in " << deployment.directory() << '\n';
     return 1;
 }
--- a/tests/soak/operations_test.cpp
+++ b/tests/soak/operations_test.cpp
@@ -1,7 +1,8 @@
-// The ways of docs/OPERATIONS.md from a failed request's id to its cause: each failure is brought
-// about with real processes, and the lines that the page names are looked for in the gateway's log.
+// Tests the procedures of docs/OPERATIONS.md that lead from a failed request's id to its cause.
+// Each failure is produced with real processes; the gateway's log must have the lines that the page
+// names.
 
-#include "soak/world.hpp"
+#include "soak/deployment.hpp"
 
 #include "harness/wait_until.hpp"
 
@@ -24,12 +25,12 @@
 using namespace std::chrono_literals;
 using wire::Task;
 
-constexpr std::size_t BackendsEach = 2;
+constexpr std::size_t BackendsPerService = 2;
 
 class OperationsTest : public testing::Test
 {
 protected:
-    OperationsTest() { m_world.awaitStart(); }
+    OperationsTest() { m_deployment.waitUntilReady(); }
 
     void run(std::function<Task<void>()> body)
     {
@@ -54,7 +55,7 @@
         request.fields.set("X-Deadline-Ms", "20000");
         request.fields.set("X-Token-Count", "1000,100");
         request.fields.set("Authorization", "Bearer secret");
-        const wire::Endpoint gateway = m_world.callersOf(0);
+        const wire::Endpoint gateway = m_deployment.callerEndpoint(0);
         co_return co_await m_http.open(gateway, std::move(request));
     }
 
@@ -72,10 +73,10 @@
             co_await wire::sleepFor(20ms);
     }
 
-    /// Lines of the gateway's log that hold all of these.
+    /// Returns the lines of the gateway's log that contain all of these texts.
     [[nodiscard]] std::vector<std::string> lines(const std::vector<std::string> &texts) const
     {
-        std::istringstream log(harness::readFile(m_world.directory() + "/gateway-0.log"));
+        std::istringstream log(harness::readFile(m_deployment.directory() + "/gateway-0.log"));
         std::vector<std::string> found;
         std::string line;
         while (std::getline(log, line)) {
@@ -96,7 +97,7 @@
 
     void killBackend(std::size_t index)
     {
-        m_world.begin({ FaultKind::BackendKilled, index, 0ms, 0ms });
+        m_deployment.begin({ FaultKind::BackendKilled, index, 0ms, 0ms });
     }
 
     static std::string field(const std::string &name, const std::string &value)
@@ -104,13 +105,13 @@
         return "\"" + name + "\":\"" + value + "\"";
     }
 
-    World m_world { { 1, BackendsEach } };
+    Deployment m_deployment { { 1, BackendsPerService } };
     boost::asio::io_context m_io { 1 };
     wire::HttpClient m_http { m_io };
 };
 
-// A caller complains that its top-up was refused. All servers of the service had crashed: the
-// request's own line names the reason, the lines before it the servers that went.
+// A request is refused because all servers of its service have crashed. The request's log line must
+// name the reason, and earlier lines must name the servers that were removed.
 TEST_F(OperationsTest, FromARefusalToTheServersThatAreMissing)
 {
     run([this]() -> Task<void> {
@@ -127,8 +128,8 @@
                            field("reason", "no-server"), field("sends", "0") }));
 }
 
-// A caller complains that its answer broke off. The request's line says so, its one attempt names
-// the server, and that server's lines say that it went.
+// A stream breaks off because its server was killed. The request's log line must say so, its only
+// attempt must name the server, and the log must have lines about that server.
 TEST_F(OperationsTest, FromABrokenStreamToTheServerThatCrashed)
 {
     std::string broken;
@@ -147,9 +148,9 @@
                 more = co_await (*stream)->read();
             if (!more)
                 broken = attempt;
-            m_world.end({ FaultKind::BackendKilled, 2, 0ms, 0ms });
-            m_world.end({ FaultKind::BackendKilled, 3, 0ms, 0ms });
-            m_world.revive();
+            m_deployment.end({ FaultKind::BackendKilled, 2, 0ms, 0ms });
+            m_deployment.end({ FaultKind::BackendKilled, 3, 0ms, 0ms });
+            m_deployment.restartEnded();
             if (broken.empty())
                 co_await untilServed("/solo/plain/events");
         }
@@ -165,8 +166,8 @@
     EXPECT_TRUE(logHolds({ field("name", "server-listed"), field("server", server) }));
 }
 
-// A caller complains about a 500. It is the servers' own: the request's line counts two runs, and
-// each attempt names its server.
+// A caller gets a 500 that the servers themselves gave. The request's log line must count two runs,
+// and the log must have a line for each of the two attempts.
 TEST_F(OperationsTest, FromAFailureToTheServersThatGaveIt)
 {
     run([this]() -> Task<void> {
