--- a/standins/common/json_fields.cpp
+++ b/standins/common/json_fields.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-[[noreturn]] void badField(std::string_view name, std::string_view allowed)
+[[noreturn]] void throwInvalidField(std::string_view name, std::string_view allowed)
 {
     throw std::invalid_argument("'" + std::string(name) + "' must be " + std::string(allowed));
 }
@@ -26,54 +26,56 @@
     return std::move(value.as_object());
 }
 
-std::string textField(const json::object &object, std::string_view name, std::string_view absent)
+std::string textField(const json::object &object, std::string_view name,
+                      std::string_view defaultValue)
 {
     const json::value *value = object.if_contains(name);
     if (value == nullptr)
-        return std::string(absent);
+        return std::string(defaultValue);
     if (!value->is_string())
-        badField(name, "a string");
+        throwInvalidField(name, "a string");
     return std::string(value->as_string());
 }
 
-std::int64_t numberField(const json::object &object, std::string_view name, std::int64_t absent)
+std::int64_t numberField(const json::object &object, std::string_view name,
+                         std::int64_t defaultValue)
 {
     const json::value *value = object.if_contains(name);
     if (value == nullptr)
-        return absent;
+        return defaultValue;
     boost::system::error_code ec;
     const auto number = value->to_number<std::int64_t>(ec);
     if (ec)
-        badField(name, "a whole number");
+        throwInvalidField(name, "a whole number");
     return number;
 }
 
-double realField(const json::object &object, std::string_view name, double absent)
+double realField(const json::object &object, std::string_view name, double defaultValue)
 {
     const json::value *value = object.if_contains(name);
     if (value == nullptr)
-        return absent;
+        return defaultValue;
     boost::system::error_code ec;
     const auto number = value->to_number<double>(ec);
     if (ec)
-        badField(name, "a number");
+        throwInvalidField(name, "a number");
     return number;
 }
 
-bool flagField(const json::object &object, std::string_view name, bool absent)
+bool flagField(const json::object &object, std::string_view name, bool defaultValue)
 {
     const json::value *value = object.if_contains(name);
     if (value == nullptr)
-        return absent;
+        return defaultValue;
     if (!value->is_bool())
-        badField(name, "true or false");
+        throwInvalidField(name, "true or false");
     return value->as_bool();
 }
 
 std::chrono::milliseconds millisecondsField(const json::object &object, std::string_view name,
-                                            std::chrono::milliseconds absent)
+                                            std::chrono::milliseconds defaultValue)
 {
-    return std::chrono::milliseconds(numberField(object, name, absent.count()));
+    return std::chrono::milliseconds(numberField(object, name, defaultValue.count()));
 }
 
 json::array arrayField(const json::object &object, std::string_view name)
@@ -82,7 +84,7 @@
     if (value == nullptr)
         return {};
     if (!value->is_array())
-        badField(name, "an array");
+        throwInvalidField(name, "an array");
     return value->as_array();
 }
 
--- a/standins/common/json_fields.hpp
+++ b/standins/common/json_fields.hpp
@@ -10,21 +10,21 @@
 
 namespace snipestall::standins {
 
-/// Parses a body that must be a JSON object; throws std::invalid_argument otherwise.
+/// Parses a body as a JSON object. Throws std::invalid_argument if it is not one.
 boost::json::object parseObject(std::string_view body);
 
-// Readers of one field; the default where it is absent, std::invalid_argument where it has
-// another type.
+// Each function reads one field. It returns the default if the field is absent and throws
+// std::invalid_argument if the field has another type.
 std::string textField(const boost::json::object &object, std::string_view name,
-                      std::string_view absent = {});
+                      std::string_view defaultValue = {});
 std::int64_t numberField(const boost::json::object &object, std::string_view name,
-                         std::int64_t absent = 0);
-double realField(const boost::json::object &object, std::string_view name, double absent);
-bool flagField(const boost::json::object &object, std::string_view name, bool absent = false);
+                         std::int64_t defaultValue = 0);
+double realField(const boost::json::object &object, std::string_view name, double defaultValue);
+bool flagField(const boost::json::object &object, std::string_view name, bool defaultValue = false);
 std::chrono::milliseconds millisecondsField(const boost::json::object &object,
                                             std::string_view name,
-                                            std::chrono::milliseconds absent);
-/// An empty array if absent.
+                                            std::chrono::milliseconds defaultValue);
+/// Returns an empty array if the field is absent.
 boost::json::array arrayField(const boost::json::object &object, std::string_view name);
 
 } // namespace snipestall::standins
--- a/standins/common/pacer.hpp
+++ b/standins/common/pacer.hpp
@@ -7,28 +7,29 @@
 
 namespace snipestall::standins {
 
-/// Serves units of work one after another at a fixed rate: tells each caller how long to wait.
+/// Simulates a resource that serves units of work one after another at a fixed rate.
 class Pacer
 {
 public:
-    /// No limit at 0 per second.
+    /// A rate of 0 means no limit.
     explicit Pacer(double unitsPerSecond)
         : m_unitsPerSecond(unitsPerSecond)
     { }
 
+    /// Queues `units` of work and returns the time until they are done.
     std::chrono::nanoseconds reserve(SteadyTime now, double units)
     {
         if (m_unitsPerSecond <= 0)
             return {};
         const std::chrono::duration<double> work(units / m_unitsPerSecond);
-        const SteadyTime start = std::max(now, m_freeAt);
-        m_freeAt = start + std::chrono::duration_cast<SteadyTime::duration>(work);
-        return m_freeAt - now;
+        const SteadyTime start = std::max(now, m_busyUntil);
+        m_busyUntil = start + std::chrono::duration_cast<SteadyTime::duration>(work);
+        return m_busyUntil - now;
     }
 
 private:
     double m_unitsPerSecond;
-    SteadyTime m_freeAt {};
+    SteadyTime m_busyUntil {};
 };
 
 } // namespace snipestall::standins
--- a/standins/common/program.hpp
+++ b/standins/common/program.hpp
@@ -13,23 +13,24 @@
 
 namespace snipestall::standins {
 
-/// Parses the command line; leftover arguments are faults and end the process with status 2.
+/// Parses the command line. Exits with status 2 on a positional argument.
 void parseFlags(int argc, char **argv, const std::string &usage);
 
-/// Opens a listener, writes its port to `portFile` (if not empty) as a whole; on failure prints
-/// the reason and exits with 1.
+/// Opens a listener and writes its port to `portFile` (if not empty) atomically. On failure, prints
+/// the reason and exits with status 1.
 std::unique_ptr<wire::HttpServer> listenOrExit(boost::asio::io_context &io,
                                                const std::string &address,
                                                const std::string &portFile,
                                                wire::HttpServer::Handler handler);
 
-/// Prints the reason and exits with 2 if the text is no IP:PORT.
+/// Parses IP:PORT. On failure, prints the reason and exits with status 2.
 wire::Endpoint endpointOrExit(const std::string &text);
 
-/// Writes through a temporary file, so that a reader sees all of it or nothing.
+/// Writes the port through a temporary file, so that a reader sees the whole content or no file.
+/// Does nothing if `path` is empty.
 void writePortFile(const std::string &path, std::uint16_t port);
 
-/// Runs the loop until SIGTERM or SIGINT, then runs `stop` and goes on until the loop is stopped.
+/// Runs the event loop. Calls `stop` on SIGTERM or SIGINT and returns once the loop is stopped.
 void runUntilSignal(boost::asio::io_context &io, const std::function<void()> &stop);
 
 } // namespace snipestall::standins
--- a/standins/common/registration.cpp
+++ b/standins/common/registration.cpp
@@ -11,19 +11,19 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds RetryEvery { 100 };
-constexpr std::chrono::milliseconds RemovalPatience { 500 };
+constexpr std::chrono::milliseconds RetryInterval { 100 };
+constexpr std::chrono::milliseconds RemovalTimeout { 500 };
 
-wire::HttpRequest toRequest(const Listing &listing)
+wire::HttpRequest toRequest(const InstanceRecord &record)
 {
     boost::json::object body;
-    body["name"] = listing.name;
-    body["incarnation"] = listing.incarnation;
+    body["name"] = record.name;
+    body["incarnation"] = record.incarnation;
     body["role"] = "backend";
-    body["address"] = listing.address;
-    body["data_centre"] = listing.dataCentre;
-    body["service"] = listing.service;
-    body["class"] = listing.instanceClass;
+    body["address"] = record.address;
+    body["data_centre"] = record.dataCentre;
+    body["service"] = record.service;
+    body["class"] = record.instanceClass;
     body["leaving"] = false;
     return { "POST", "/instances", {}, boost::json::serialize(body) };
 }
@@ -35,16 +35,16 @@
     , m_platform(std::move(platform))
 { }
 
-wire::Task<void> Registration::add(Listing listing)
+wire::Task<void> Registration::add(InstanceRecord record)
 {
     if (!m_platform)
         co_return;
     while (true) {
-        wire::HttpRequest request = toRequest(listing);
+        wire::HttpRequest request = toRequest(record);
         const auto response = co_await m_client.fetch(*m_platform, std::move(request));
         if (response && response->status < 300)
             co_return;
-        co_await wire::sleepFor(RetryEvery);
+        co_await wire::sleepFor(RetryInterval);
     }
 }
 
@@ -54,12 +54,12 @@
         co_return;
     wire::HttpRequest request { "DELETE", "/instances/" + name, {}, {} };
     wire::HttpCallOptions options;
-    options.connectTimeout = RemovalPatience;
-    options.idleTimeout = RemovalPatience;
+    options.connectTimeout = RemovalTimeout;
+    options.idleTimeout = RemovalTimeout;
     co_await m_client.fetch(*m_platform, std::move(request), std::move(options));
 }
 
-std::uint64_t freshIncarnation()
+std::uint64_t incarnationFromClock()
 {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     return static_cast<std::uint64_t>(
--- a/standins/common/registration.hpp
+++ b/standins/common/registration.hpp
@@ -12,8 +12,8 @@
 
 namespace snipestall::standins {
 
-/// What a backend server tells the platform's instance list about itself.
-struct Listing
+/// Entry of a backend server in the platform's instance list.
+struct InstanceRecord
 {
     std::string name;
     std::uint64_t incarnation = 0;
@@ -23,16 +23,16 @@
     std::string instanceClass;
 };
 
-/// Keeps a backend server in the platform's instance list, as the cloud would.
+/// Adds a backend server to the platform's instance list and removes it, as the cloud would.
 class Registration
 {
 public:
-    /// Without a platform every call does nothing.
+    /// If `platform` is empty, add() and remove() do nothing.
     Registration(boost::asio::io_context &io, std::optional<wire::Endpoint> platform);
 
-    /// Tries until the platform answers.
-    wire::Task<void> add(Listing listing);
-    /// Tries once: a platform that is down must not hold up a stop.
+    /// Retries until the platform accepts the entry.
+    wire::Task<void> add(InstanceRecord record);
+    /// Tries only once, because a platform that is down must not delay the shutdown.
     wire::Task<void> remove(std::string name);
 
 private:
@@ -40,7 +40,8 @@
     std::optional<wire::Endpoint> m_platform;
 };
 
-/// An incarnation number that grows with each start of a process.
-std::uint64_t freshIncarnation();
+/// Returns an incarnation number from the clock (milliseconds since the epoch), so that it grows
+/// with each start of a process.
+std::uint64_t incarnationFromClock();
 
 } // namespace snipestall::standins
--- a/standins/common/route_table.hpp
+++ b/standins/common/route_table.hpp
@@ -10,28 +10,30 @@
 
 namespace snipestall::standins {
 
-/// One line of a table of routes: a plain call or one that streams, waits or cuts.
+/// One entry of a route table. Exactly one handler is set: the asynchronous one is for calls that
+/// stream, wait or cut the connection.
 template<typename Owner>
 struct Route
 {
-    using Call = wire::HttpResponse (Owner::*)(const wire::HttpRequest &);
-    using Conversation = wire::Task<void> (Owner::*)(wire::HttpExchange &);
+    using Handler = wire::HttpResponse (Owner::*)(const wire::HttpRequest &);
+    using AsyncHandler = wire::Task<void> (Owner::*)(wire::HttpExchange &);
 
-    /// Empty: any method.
+    /// Empty matches any method.
     std::string_view method;
-    /// A path that ends in '/' takes everything below it.
+    /// A path that ends in '/' also matches every path below it.
     std::string_view path;
-    Call call = nullptr;
-    Conversation conversation = nullptr;
+    Handler handler = nullptr;
+    AsyncHandler asyncHandler = nullptr;
 
     [[nodiscard]] bool matches(const wire::HttpRequest &request) const
     {
-        const std::string_view asked = request.path();
-        const bool below = path.ends_with('/') && asked.starts_with(path);
-        return (method.empty() || method == request.method) && (below || asked == path);
+        const std::string_view requestPath = request.path();
+        const bool below = path.ends_with('/') && requestPath.starts_with(path);
+        return (method.empty() || method == request.method) && (below || requestPath == path);
     }
 };
 
+/// JSON error body; `message` is not escaped.
 inline wire::HttpResponse errorResponse(int status, std::string_view message)
 {
     const std::string text(message);
@@ -45,7 +47,8 @@
     return response;
 }
 
-/// Serves one exchange by the first route that matches; 404 without one, 400 for a bad body.
+/// Serves one exchange with the first matching route. Responds 404 if no route matches and 400 if
+/// the handler throws std::invalid_argument.
 template<typename Owner>
 wire::Task<void> serveRoute(Owner &owner, std::span<const Route<Owner>> routes,
                             wire::HttpExchange &exchange)
@@ -55,14 +58,14 @@
         if (found == nullptr && route.matches(exchange.request()))
             found = &route;
     }
-    wire::HttpResponse response = errorResponse(404, "no such call");
+    wire::HttpResponse response = errorResponse(404, "no route matches the method and path");
     try {
-        if (found != nullptr && found->conversation != nullptr) {
-            co_await (owner.*found->conversation)(exchange);
+        if (found != nullptr && found->asyncHandler != nullptr) {
+            co_await (owner.*found->asyncHandler)(exchange);
             co_return;
         }
         if (found != nullptr)
-            response = (owner.*found->call)(exchange.request());
+            response = (owner.*found->handler)(exchange.request());
     } catch (const std::invalid_argument &fault) {
         response = errorResponse(400, fault.what());
     }
--- a/standins/common/lagged.hpp
+++ b/standins/common/value_history.hpp
@@ -8,22 +8,23 @@
 
 namespace snipestall::standins {
 
-/// A value that is read as it was some time ago.
+/// Keeps the recent states of a value, so that it can be read as it was at an earlier time.
 template<typename T>
-class Lagged
+class ValueHistory
 {
 public:
-    explicit Lagged(T first) { m_states.emplace_back(SteadyTime::min(), std::move(first)); }
+    explicit ValueHistory(T first) { m_states.emplace_back(SteadyTime::min(), std::move(first)); }
 
     void set(SteadyTime now, T value)
     {
         m_states.emplace_back(now, std::move(value));
-        while (m_states.size() > 1 && m_states[1].first < now - Longest)
+        while (m_states.size() > 1 && m_states[1].first < now - MaxLag)
             m_states.pop_front();
     }
 
     [[nodiscard]] const T &latest() const { return m_states.back().second; }
 
+    /// The value that was current at `time`; the oldest kept one if `time` is earlier.
     [[nodiscard]] const T &at(SteadyTime time) const
     {
         auto state = m_states.rbegin();
@@ -33,8 +34,8 @@
     }
 
 private:
-    /// No lag is longer than this.
-    static constexpr std::chrono::minutes Longest { 2 };
+    /// States are kept for this long, so reads must not lag further behind.
+    static constexpr std::chrono::minutes MaxLag { 2 };
 
     std::deque<std::pair<SteadyTime, T>> m_states;
 };
--- a/standins/engine/attempt.hpp
+++ b/standins/engine/attempt.hpp
@@ -12,28 +12,31 @@
 
 namespace snipestall::standins {
 
-enum class AttemptEnd {
+/// State of an attempt; every state but Running is final.
+enum class AttemptState {
     Running,
     Completed,
     Cancelled,
-    /// The caller hung up, or the engine was taken.
+    /// The connection was cut: the client disconnected, a fault was injected or the engine was
+    /// reclaimed.
     Cut,
-    /// Not run: no room, unknown model, or told to fail.
+    /// Not run, because slots and queue are full, the model is not loaded, or `fail_fast` is set.
     Refused,
 };
 
-/// One attempt at a completion, from the arrival of its body.
+/// One attempt at a completion. It is created when the request body has arrived.
 struct Attempt
 {
     explicit Attempt(boost::asio::io_context &io)
         : wake(io, SteadyTime::max())
     { }
 
-    [[nodiscard]] std::int64_t wanted() const { return maxTokens - from; }
-    /// The prompt of an ended attempt is not kept: the log holds thousands of them.
-    void end(AttemptEnd how)
+    /// Number of tokens that this attempt has to produce.
+    [[nodiscard]] std::int64_t tokensToProduce() const { return maxTokens - from; }
+    /// Also clears the prompt, because the log keeps thousands of ended attempts.
+    void end(AttemptState outcome)
     {
-        ended = how;
+        ended = outcome;
         prompt.clear();
         wake.cancel();
     }
@@ -44,10 +47,11 @@
     std::string prompt;
     std::uint32_t promptHash = 0;
     std::int64_t promptTokens = 0;
-    /// Of the whole answer, the part before `from` included.
+    /// Length of the whole answer, including the part before `from`.
     std::int64_t maxTokens = 0;
+    /// Offset of the first token to produce.
     std::int64_t from = 0;
-    /// A greater one goes first.
+    /// Queued attempts with a greater priority run first.
     std::int64_t priority = 0;
     std::string kvHandle;
 
@@ -56,11 +60,11 @@
     std::int64_t prefilledTokens = 0;
     SteadyTime prefillDone {};
     std::int64_t produced = 0;
-    AttemptEnd ended = AttemptEnd::Running;
+    AttemptState ended = AttemptState::Running;
     WallTime arrived {};
-    /// Time between the engine's reclaim notice and the arrival.
+    /// Time from the engine's reclaim notice to the arrival; empty before a notice.
     std::optional<std::chrono::milliseconds> afterNotice;
-    /// Cancelled whenever there is a token to write or the attempt has ended.
+    /// Cancelled to wake the writer when a token was produced or the attempt has ended.
     boost::asio::steady_timer wake;
 };
 
--- a/standins/engine/attempt_log.cpp
+++ b/standins/engine/attempt_log.cpp
@@ -39,13 +39,13 @@
         m_file.open(file, std::ios::app);
 }
 
-void AttemptLog::arrived(const AttemptPtr &attempt)
+void AttemptLog::recordArrival(const AttemptPtr &attempt)
 {
     m_attempts.push_back(attempt);
     writeLine(*attempt);
 }
 
-void AttemptLog::ended(const Attempt &attempt)
+void AttemptLog::recordEnd(const Attempt &attempt)
 {
     writeLine(attempt);
 }
--- a/standins/engine/attempt_log.hpp
+++ b/standins/engine/attempt_log.hpp
@@ -10,15 +10,15 @@
 
 namespace snipestall::standins {
 
-/// Every attempt whose body arrived: the judge of what was run.
+/// Records every attempt whose request body arrived. Tests use it to check what was run.
 class AttemptLog
 {
 public:
-    /// Without a file the records die with the process.
+    /// If `file` is empty, the records are kept in memory only and are lost when the process ends.
     explicit AttemptLog(const std::string &file);
 
-    void arrived(const AttemptPtr &attempt);
-    void ended(const Attempt &attempt);
+    void recordArrival(const AttemptPtr &attempt);
+    void recordEnd(const Attempt &attempt);
     [[nodiscard]] AttemptPtr find(const std::string &id) const;
     [[nodiscard]] const std::vector<AttemptPtr> &all() const { return m_attempts; }
     [[nodiscard]] boost::json::array toJson() const;
--- a/standins/engine/batch.cpp
+++ b/standins/engine/batch.cpp
@@ -40,7 +40,7 @@
     };
     m_queue.insert(std::find_if(m_queue.begin(), m_queue.end(), lessUrgent), attempt);
     fillSlots(std::chrono::steady_clock::now());
-    changed();
+    notifyChanged();
     m_wake.cancel();
 }
 
@@ -49,7 +49,7 @@
     std::erase(m_running, attempt);
     std::erase(m_queue, attempt);
     fillSlots(std::chrono::steady_clock::now());
-    changed();
+    notifyChanged();
 }
 
 void Batch::fillSlots(SteadyTime now)
@@ -64,13 +64,13 @@
 
 void Batch::prefill(Attempt &attempt, SteadyTime now)
 {
-    const std::int64_t whole = attempt.promptTokens + attempt.from;
+    const std::int64_t contextTokens = attempt.promptTokens + attempt.from;
     attempt.cachedTokens = m_cache.cachedTokens(attempt.prompt);
-    const std::int64_t covered = std::max(attempt.cachedTokens, attempt.kvTokens);
-    attempt.prefilledTokens = std::max<std::int64_t>(whole - covered, 0);
+    const std::int64_t reusableTokens = std::max(attempt.cachedTokens, attempt.kvTokens);
+    attempt.prefilledTokens = std::max<std::int64_t>(contextTokens - reusableTokens, 0);
     const auto work = m_options.prefillPerToken * attempt.prefilledTokens;
-    m_prefillFree = std::max(m_prefillFree, now) + scaled(work, m_slowFactor);
-    attempt.prefillDone = m_prefillFree;
+    m_prefillBusyUntil = std::max(m_prefillBusyUntil, now) + scaled(work, m_slowFactor);
+    attempt.prefillDone = m_prefillBusyUntil;
     m_cache.insert(now, attempt.prompt);
 }
 
@@ -86,7 +86,7 @@
     for (const auto &attempt : m_running)
         firstReady = std::min(firstReady, attempt->prefillDone);
     const SteadyTime start = std::max(firstReady, m_lastStep);
-    // A step that is overdue begins now; missed ones are not made up for.
+    // An overdue step runs now; steps that were missed are skipped.
     return std::max(start + stepTime(), now);
 }
 
@@ -97,7 +97,7 @@
         const SteadyTime due = m_running.empty() ? SteadyTime::max() : nextStep(now);
         m_wake.expires_at(due);
         co_await m_wake.async_wait(asio::as_tuple(asio::use_awaitable));
-        // An arrival wakes the loop early, since it may be the first one in the batch.
+        // A new attempt wakes the loop early, because it may be the first one in the batch.
         const SteadyTime woken = std::chrono::steady_clock::now();
         if (woken >= due)
             step(due);
@@ -111,18 +111,18 @@
         return;
     const std::vector<AttemptPtr> batch = m_running;
     for (const auto &attempt : batch) {
-        if (attempt->prefillDone > now || attempt->ended != AttemptEnd::Running)
+        if (attempt->prefillDone > now || attempt->ended != AttemptState::Running)
             continue;
         if (m_onToken)
             m_onToken(*attempt);
         ++attempt->produced;
         attempt->wake.cancel();
-        if (attempt->produced >= attempt->wanted())
+        if (attempt->produced >= attempt->tokensToProduce())
             remove(attempt);
     }
 }
 
-void Batch::changed()
+void Batch::notifyChanged()
 {
     if (m_onChange)
         m_onChange();
--- a/standins/engine/batch.hpp
+++ b/standins/engine/batch.hpp
@@ -16,8 +16,8 @@
 
 class PrefixCache;
 
-/// Continuous batching: each step gives every prefilled stream of the batch one token; the more
-/// streams, the longer the step. Prefills run one after another.
+/// Simulates continuous batching: each step produces one token for every prefilled stream of the
+/// batch, and a step takes longer with more streams. Prefills run one after another.
 class Batch
 {
 public:
@@ -25,18 +25,19 @@
 
     [[nodiscard]] bool hasRoom() const;
     void add(const AttemptPtr &attempt);
-    /// Takes an ended attempt out of slots and queue.
+    /// Removes an ended attempt from its slot or the queue.
     void remove(const AttemptPtr &attempt);
     [[nodiscard]] std::size_t running() const { return m_running.size(); }
     [[nodiscard]] std::size_t queued() const { return m_queue.size(); }
     void setSlowFactor(double factor) { m_slowFactor = factor; }
-    /// No stream gets a token while this holds.
+    /// While stalled, no stream produces a token.
     void setStalled(bool stalled) { m_stalled = stalled; }
-    /// Called for each token before it can be written.
+    /// Sets the callback that runs for each token before the token can be written.
     void onToken(std::function<void(const Attempt &)> callback) { m_onToken = std::move(callback); }
+    /// Sets the callback that runs when the number of running or queued attempts may have changed.
     void onChange(std::function<void()> callback) { m_onChange = std::move(callback); }
 
-    /// Steps for as long as the loop runs.
+    /// Runs decoding steps for as long as the event loop runs.
     wire::Task<void> run();
 
 private:
@@ -45,13 +46,13 @@
     [[nodiscard]] SteadyTime nextStep(SteadyTime now) const;
     [[nodiscard]] std::chrono::nanoseconds stepTime() const;
     void step(SteadyTime now);
-    void changed();
+    void notifyChanged();
 
     const EngineOptions &m_options;
     PrefixCache &m_cache;
     std::vector<AttemptPtr> m_running;
     std::vector<AttemptPtr> m_queue;
-    SteadyTime m_prefillFree {};
+    SteadyTime m_prefillBusyUntil {};
     SteadyTime m_lastStep {};
     double m_slowFactor = 1;
     bool m_stalled = false;
--- a/standins/engine/engine.cpp
+++ b/standins/engine/engine.cpp
@@ -60,7 +60,7 @@
     , m_log(m_options.attemptsFile)
     , m_orders(m_options.checksFencing)
     , m_models(m_options.models)
-    , m_load({ m_options.models, 0, 0, false })
+    , m_loadHistory({ m_options.models, 0, 0, false })
 {
     m_batch.onToken([this](const Attempt &attempt) { crashIfMarked(attempt); });
     m_batch.onChange([this] { recordLoad(); });
@@ -74,7 +74,7 @@
         { "POST", "/kv/export", nullptr, &Engine::exportKv },
         { "GET", "/load", &Engine::load },
         { "GET", "/cache-events", &Engine::cacheEvents },
-        { "POST", "/orders", &Engine::takeOrder },
+        { "POST", "/orders", &Engine::acceptOrder },
         { "GET", "/orders", &Engine::listOrders },
         { "POST", "/control", &Engine::control },
         { "POST", "/control/reclaim", &Engine::reclaim },
@@ -90,8 +90,8 @@
 
 Task<void> Engine::serve(HttpExchange &exchange)
 {
-    // A kept connection may still bring a request to an engine that was taken.
-    if (m_taken) {
+    // A keep-alive connection may still deliver a request after the engine was reclaimed.
+    if (m_reclaimed) {
         exchange.abort();
         co_return;
     }
@@ -113,9 +113,9 @@
     attempt->priority = numberField(body, "priority");
     attempt->kvHandle = textField(body, "kv");
     attempt->arrived = std::chrono::system_clock::now();
-    if (m_noticed) {
+    if (m_noticedAt) {
         attempt->afterNotice = std::chrono::duration_cast<std::chrono::milliseconds>(
-            std::chrono::steady_clock::now() - *m_noticed);
+            std::chrono::steady_clock::now() - *m_noticedAt);
     }
     return attempt;
 }
@@ -123,7 +123,7 @@
 std::optional<HttpResponse> Engine::refusal(const Attempt &attempt) const
 {
     if (m_faults.failFast)
-        return errorResponse(500, "told to fail");
+        return errorResponse(500, "refused because fail_fast is set");
     if (std::find(m_models.begin(), m_models.end(), attempt.model) == m_models.end())
         return errorResponse(404, "the model is not loaded");
     if (m_batch.hasRoom())
@@ -136,23 +136,23 @@
 Task<void> Engine::complete(HttpExchange &exchange)
 {
     const AttemptPtr attempt = parseAttempt(exchange.request());
-    m_log.arrived(attempt);
+    m_log.recordArrival(attempt);
     auto refused = refusal(*attempt);
     if (refused) {
-        close(attempt, AttemptEnd::Refused);
+        close(attempt, AttemptState::Refused);
         refused->fields.set("Snipestall-Attempt", attempt->id);
         co_await exchange.respond(std::move(*refused));
         co_return;
     }
-    exchange.onPeerClosed([this, attempt] { close(attempt, AttemptEnd::Cut); });
-    bool hungUp = false;
+    exchange.onPeerClosed([this, attempt] { close(attempt, AttemptState::Cut); });
+    bool disconnected = false;
     try {
         co_await stream(exchange, attempt);
     } catch (const boost::system::system_error &) {
-        hungUp = true;
+        disconnected = true;
     }
-    if (hungUp)
-        close(attempt, AttemptEnd::Cut);
+    if (disconnected)
+        close(attempt, AttemptState::Cut);
 }
 
 Task<void> Engine::stream(HttpExchange &exchange, AttemptPtr attempt)
@@ -164,14 +164,14 @@
     co_await exchange.beginStream(std::move(head));
     if (!attempt->kvHandle.empty())
         co_await importKv(attempt);
-    if (attempt->ended == AttemptEnd::Running && attempt->wanted() > 0)
+    if (attempt->ended == AttemptState::Running && attempt->tokensToProduce() > 0)
         m_batch.add(attempt);
     co_await writeTokens(exchange, attempt);
-    if (attempt->ended == AttemptEnd::Cut) {
+    if (attempt->ended == AttemptState::Cut) {
         exchange.abort();
         co_return;
     }
-    close(attempt, AttemptEnd::Completed);
+    close(attempt, AttemptState::Completed);
     co_await writeEnd(exchange, attempt);
 }
 
@@ -188,9 +188,9 @@
         --m_faults.cutAnswers;
         cutAt = attempt->from + m_faults.cutAfterTokens;
     }
-    while (attempt->ended == AttemptEnd::Running && event.offset < attempt->maxTokens) {
+    while (attempt->ended == AttemptState::Running && event.offset < attempt->maxTokens) {
         if (event.offset >= cutAt) {
-            close(attempt, AttemptEnd::Cut);
+            close(attempt, AttemptState::Cut);
             co_return;
         }
         const std::int64_t available = attempt->from + attempt->produced;
@@ -213,20 +213,20 @@
     data["cached"] = attempt->cachedTokens;
     data["prefilled"] = attempt->prefilledTokens;
     data["recomputed"] = attempt->from > 0 ? attempt->prefilledTokens : 0;
-    if (attempt->ended == AttemptEnd::Cancelled)
+    if (attempt->ended == AttemptState::Cancelled)
         data["cancelled"] = true;
     std::string text = "data: " + json::serialize(data) + "\n\n";
     co_await exchange.write(std::move(text));
     co_await exchange.finish();
 }
 
-void Engine::close(const AttemptPtr &attempt, AttemptEnd how)
+void Engine::close(const AttemptPtr &attempt, AttemptState outcome)
 {
-    if (attempt->ended != AttemptEnd::Running)
+    if (attempt->ended != AttemptState::Running)
         return;
-    attempt->end(how);
+    attempt->end(outcome);
     m_batch.remove(attempt);
-    m_log.ended(*attempt);
+    m_log.recordEnd(*attempt);
 }
 
 void Engine::crashIfMarked(const Attempt &attempt) const
@@ -237,7 +237,8 @@
     std::_Exit(CrashStatus);
 }
 
-// A handle that can't be fetched any more is no fault: the engine computes what it lacks.
+// A handle that can no longer be fetched is not an error, because the engine prefills the missing
+// tokens.
 Task<void> Engine::importKv(AttemptPtr attempt)
 {
     const std::size_t slash = attempt->kvHandle.find('/');
--- a/standins/engine/engine.hpp
+++ b/standins/engine/engine.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "common/lagged.hpp"
 #include "common/registration.hpp"
 #include "common/route_table.hpp"
+#include "common/value_history.hpp"
 #include "engine/attempt_log.hpp"
 #include "engine/batch.hpp"
 #include "engine/engine_faults.hpp"
@@ -24,7 +24,7 @@
 
 namespace snipestall::standins {
 
-/// What an engine reports about itself.
+/// State of an engine that its load report shows.
 struct LoadReport
 {
     std::vector<std::string> models;
@@ -33,21 +33,23 @@
     bool leaving = false;
 };
 
-/// A model engine over HTTP; see docs/design/standin-protocols.md.
+/// A stand-in for a model engine with an HTTP interface; see docs/design/standin-protocols.md.
 class Engine
 {
 public:
     Engine(boost::asio::io_context &io, EngineOptions options,
            std::optional<wire::Endpoint> platform);
 
-    /// Where exported KV is fetched; known once its listener is open.
+    /// Sets the IP:PORT from which exported KV is fetched. It is known only once that listener is
+    /// open.
     void setKvAddress(std::string address) { m_kvAddress = std::move(address); }
-    /// Called when a reclaim's notice has passed and every stream is cut.
-    void onTaken(std::function<void()> callback) { m_onTaken = std::move(callback); }
+    /// Sets the callback that runs when the notice of a reclaim has expired and every stream is
+    /// cut.
+    void onReclaimed(std::function<void()> callback) { m_onReclaimed = std::move(callback); }
 
     wire::Task<void> run();
     wire::Task<void> serve(wire::HttpExchange &exchange);
-    /// The listener that outlives the engine by `kvTtl`.
+    /// Serves exported KV. Its listener stays open for `kvTtl` after the engine was reclaimed.
     wire::Task<void> serveKv(wire::HttpExchange &exchange);
     [[nodiscard]] const EngineOptions &options() const { return m_options; }
 
@@ -61,14 +63,14 @@
     wire::Task<void> stream(wire::HttpExchange &exchange, AttemptPtr attempt);
     wire::Task<void> writeTokens(wire::HttpExchange &exchange, AttemptPtr attempt);
     wire::Task<void> writeEnd(wire::HttpExchange &exchange, AttemptPtr attempt);
-    void close(const AttemptPtr &attempt, AttemptEnd how);
+    void close(const AttemptPtr &attempt, AttemptState outcome);
     void crashIfMarked(const Attempt &attempt) const;
 
     wire::HttpResponse cancel(const wire::HttpRequest &request);
     wire::Task<void> exportKv(wire::HttpExchange &exchange);
     wire::HttpResponse load(const wire::HttpRequest &request);
     wire::HttpResponse cacheEvents(const wire::HttpRequest &request);
-    wire::HttpResponse takeOrder(const wire::HttpRequest &request);
+    wire::HttpResponse acceptOrder(const wire::HttpRequest &request);
     wire::HttpResponse listOrders(const wire::HttpRequest &request);
     wire::HttpResponse control(const wire::HttpRequest &request);
     wire::HttpResponse reclaim(const wire::HttpRequest &request);
@@ -90,11 +92,11 @@
     EngineFaults m_faults;
     std::vector<std::string> m_models;
     std::string m_kvAddress;
-    std::function<void()> m_onTaken;
-    Lagged<LoadReport> m_load;
-    std::optional<SteadyTime> m_noticed;
-    SteadyTime m_noticeEnd {};
-    bool m_taken = false;
+    std::function<void()> m_onReclaimed;
+    ValueHistory<LoadReport> m_loadHistory;
+    std::optional<SteadyTime> m_noticedAt;
+    SteadyTime m_noticeEndsAt {};
+    bool m_reclaimed = false;
 };
 
 } // namespace snipestall::standins
--- a/standins/engine/engine_control.cpp
+++ b/standins/engine/engine_control.cpp
@@ -68,7 +68,7 @@
     const auto body = parseObject(request.body);
     const AttemptPtr attempt = m_log.find(textField(body, "attempt"));
     if (attempt != nullptr && !m_faults.ignoreCancel)
-        close(attempt, AttemptEnd::Cancelled);
+        close(attempt, AttemptState::Cancelled);
     return noContent();
 }
 
@@ -92,7 +92,7 @@
 Task<void> Engine::serveKv(HttpExchange &exchange)
 {
     const auto kv = m_kv.find(std::string(exchange.request().path()));
-    HttpResponse response = errorResponse(404, "no such export");
+    HttpResponse response = errorResponse(404, "no such KV export");
     if (kv) {
         json::object answer;
         answer["prompt_hash"] = kv->promptHash;
@@ -105,7 +105,7 @@
 HttpResponse Engine::load(const HttpRequest &)
 {
     const SteadyTime now = std::chrono::steady_clock::now();
-    const LoadReport &report = m_load.at(now - m_options.reportLag);
+    const LoadReport &report = m_loadHistory.at(now - m_options.reportLag);
     json::object answer;
     answer["name"] = m_options.name;
     answer["incarnation"] = m_options.incarnation;
@@ -116,7 +116,8 @@
     answer["queued"] = report.queued;
     answer["leaving"] = report.leaving;
     if (report.leaving) {
-        const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(m_noticeEnd - now);
+        const auto left =
+            std::chrono::duration_cast<std::chrono::milliseconds>(m_noticeEndsAt - now);
         answer["notice_ms"] = std::max<std::int64_t>(left.count(), 0);
     }
     answer["age_ms"] = m_options.reportLag.count();
@@ -125,8 +126,8 @@
 
 void Engine::recordLoad()
 {
-    LoadReport report { m_models, m_batch.running(), m_batch.queued(), m_noticed.has_value() };
-    m_load.set(std::chrono::steady_clock::now(), std::move(report));
+    LoadReport report { m_models, m_batch.running(), m_batch.queued(), m_noticedAt.has_value() };
+    m_loadHistory.set(std::chrono::steady_clock::now(), std::move(report));
 }
 
 HttpResponse Engine::cacheEvents(const HttpRequest &request)
@@ -142,11 +143,11 @@
     return jsonResponse(answer);
 }
 
-HttpResponse Engine::takeOrder(const HttpRequest &request)
+HttpResponse Engine::acceptOrder(const HttpRequest &request)
 {
     Order order = OrderLog::parse(parseObject(request.body));
     if (!m_orders.add(order))
-        return errorResponse(409, "old fencing number; a newer one has been seen");
+        return errorResponse(409, "outdated fencing token; a newer one has been seen");
     if (order.kind == "load")
         asio::co_spawn(m_io, loadModel(std::move(order.model)), asio::detached);
     else if (order.kind == "unload")
@@ -191,10 +192,10 @@
     const auto body = parseObject(request.body);
     const auto notice = millisecondsField(body, "notice_ms", std::chrono::milliseconds(0));
     const SteadyTime now = std::chrono::steady_clock::now();
-    if (m_noticed)
+    if (m_noticedAt)
         return noContent();
-    m_noticed = now;
-    m_noticeEnd = now + notice;
+    m_noticedAt = now;
+    m_noticeEndsAt = now + notice;
     recordLoad();
     asio::co_spawn(m_io, leaveAfter(notice), asio::detached);
     return noContent();
@@ -203,12 +204,12 @@
 Task<void> Engine::leaveAfter(std::chrono::milliseconds notice)
 {
     co_await wire::sleepFor(notice);
-    m_taken = true;
+    m_reclaimed = true;
     const std::vector<AttemptPtr> attempts = m_log.all();
     for (const auto &attempt : attempts)
-        close(attempt, AttemptEnd::Cut);
-    if (m_onTaken)
-        m_onTaken();
+        close(attempt, AttemptState::Cut);
+    if (m_onReclaimed)
+        m_onReclaimed();
 }
 
 HttpResponse Engine::attempts(const HttpRequest &)
--- a/standins/engine/engine_faults.hpp
+++ b/standins/engine/engine_faults.hpp
@@ -7,19 +7,23 @@
 
 namespace snipestall::standins {
 
-/// What the test has ordered this engine to do wrong.
+/// Faults that a test has requested of this engine.
 struct EngineFaults
 {
-    /// Every completion is refused with 500.
+    /// Refuses every completion with status 500.
     bool failFast = false;
     bool ignoreCancel = false;
-    /// The next completions are answered under another attempt's id, with another prompt's text.
+    /// Number of next completions that are answered with the id of another attempt and the text of
+    /// another prompt.
     std::int64_t strangerAnswers = 0;
-    /// The next completions are cut after `cutAfterTokens`.
+    /// Number of next completions whose connection is cut after `cutAfterTokens` tokens.
     std::int64_t cutAnswers = 0;
     std::int64_t cutAfterTokens = 0;
+    /// The process exits when it produces a token for a prompt that contains this text.
     std::string crashMarker = "CRASH-THE-SERVER";
 
+    /// Changes the faults that the body names. Throws std::invalid_argument for a field of a wrong
+    /// type.
     void change(const boost::json::object &body);
 };
 
--- a/standins/engine/engine_options.hpp
+++ b/standins/engine/engine_options.hpp
@@ -7,7 +7,7 @@
 
 namespace snipestall::standins {
 
-/// What one stand-in engine is and how fast it works.
+/// Identity, capacity and timing of one stand-in engine.
 struct EngineOptions
 {
     std::string name;
@@ -18,23 +18,24 @@
     std::uint64_t incarnation = 0;
     std::size_t slots = 8;
     std::size_t queue = 16;
-    /// Time of one decoding step with one stream in the batch.
+    /// Duration of one decoding step with one stream in the batch.
     std::chrono::nanoseconds tokenTime { std::chrono::milliseconds(10) };
-    /// Each further stream of the batch makes a step longer by this share.
+    /// Each further stream in the batch lengthens a step by this fraction of `tokenTime`.
     double batchSlope = 0.02;
     std::chrono::nanoseconds prefillPerToken { std::chrono::microseconds(50) };
     std::size_t cacheBlocks = 4096;
     std::chrono::milliseconds reportLag { 100 };
     std::chrono::milliseconds cacheEventLag { 200 };
-    /// Share of cache events that are never published.
+    /// Fraction of cache events that are never published.
     double cacheEventGap = 0.02;
     std::chrono::milliseconds exportTime { 50 };
     std::chrono::milliseconds importTime { 20 };
-    /// How long exported KV can still be imported after the engine was taken.
+    /// Time that exported KV can still be imported after the engine was reclaimed.
     std::chrono::milliseconds kvTtl { 2000 };
     bool checksFencing = true;
     std::uint64_t seed = 1;
-    /// Gets one JSON line per arrival and end of an attempt; outlives the process.
+    /// File to which one JSON line is appended when an attempt arrives and when it ends. The file
+    /// remains after the process has ended.
     std::string attemptsFile;
 };
 
--- a/standins/engine/kv_store.hpp
+++ b/standins/engine/kv_store.hpp
@@ -7,14 +7,15 @@
 
 namespace snipestall::standins {
 
-/// KV cache of one prompt and the part of its answer that was there at the export.
+/// KV cache of one prompt and of the part of its answer that existed at the time of the export.
 struct ExportedKv
 {
     std::uint32_t promptHash = 0;
     std::int64_t tokens = 0;
 };
 
-/// Exports of one engine, by the number in their handle `<IP:PORT>/kv/<number>`.
+/// KV exports of one engine. The handle of an export is `<IP:PORT>/kv/<number>`; the store is keyed
+/// by its path.
 class KvStore
 {
 public:
--- a/standins/engine/main.cpp
+++ b/standins/engine/main.cpp
@@ -11,30 +11,32 @@
 #include <sstream>
 
 DEFINE_string(listen, "127.0.0.1:0", "IP:PORT to listen on");
-DEFINE_string(port_file, "", "file that gets the real port");
-DEFINE_string(advertise, "", "IP:PORT to register; empty: its own, as behind no proxy");
-DEFINE_string(platform, "", "IP:PORT of the platform to register with; empty: none");
+DEFINE_string(port_file, "", "file to write the bound port to");
+DEFINE_string(advertise, "",
+              "IP:PORT to register, such as that of a proxy; empty: the address listened on");
+DEFINE_string(platform, "", "IP:PORT of the platform to register with; empty: no registration");
 DEFINE_string(name, "engine", "name in the instance list");
-DEFINE_string(data_centre, "", "data centre");
-DEFINE_string(service, "", "service it belongs to");
+DEFINE_string(data_centre, "", "data centre of the instance");
+DEFINE_string(service, "", "service that the instance belongs to");
 DEFINE_string(class, "reclaimable", "instance class");
-DEFINE_string(models, "", "models loaded at the start, comma-separated");
-DEFINE_uint64(incarnation, 0, "incarnation; 0: from the clock");
-DEFINE_uint64(slots, 8, "streams in the batch");
-DEFINE_uint64(queue, 16, "requests that wait for a slot");
-DEFINE_double(token_ms, 10, "time of a step with one stream");
-DEFINE_double(batch_slope, 0.02, "share by which each further stream lengthens a step");
-DEFINE_double(prefill_us_per_token, 50, "prefill time per token");
-DEFINE_uint64(cache_blocks, 4096, "prefix cache, in blocks of 64 characters");
-DEFINE_int64(report_lag_ms, 100, "age of the load reports");
-DEFINE_int64(cache_event_lag_ms, 200, "lag of cache events");
-DEFINE_double(cache_event_gap, 0.02, "share of cache events that are never published");
-DEFINE_int64(export_ms, 50, "time of a KV export");
-DEFINE_int64(import_ms, 20, "time of a KV import");
-DEFINE_int64(kv_ttl_ms, 2000, "how long exports outlive the engine");
-DEFINE_bool(checks_fencing, true, "refuse orders with an old fencing number");
-DEFINE_uint64(seed, 1, "seed of the gaps");
-DEFINE_string(attempts_file, "", "file that gets a JSON line per arrival and end of an attempt");
+DEFINE_string(models, "", "models that are loaded at startup, comma-separated");
+DEFINE_uint64(incarnation, 0, "incarnation number; 0: taken from the clock");
+DEFINE_uint64(slots, 8, "maximum number of streams in the batch");
+DEFINE_uint64(queue, 16, "maximum number of requests that wait for a slot");
+DEFINE_double(token_ms, 10, "duration of a decoding step with one stream, in ms");
+DEFINE_double(batch_slope, 0.02, "fraction by which each further stream lengthens a step");
+DEFINE_double(prefill_us_per_token, 50, "prefill time per token, in us");
+DEFINE_uint64(cache_blocks, 4096, "capacity of the prefix cache, in blocks of 64 characters");
+DEFINE_int64(report_lag_ms, 100, "age of the load reports, in ms");
+DEFINE_int64(cache_event_lag_ms, 200, "delay until cache events are published, in ms");
+DEFINE_double(cache_event_gap, 0.02, "fraction of cache events that are never published");
+DEFINE_int64(export_ms, 50, "duration of a KV export, in ms");
+DEFINE_int64(import_ms, 20, "duration of a KV import, in ms");
+DEFINE_int64(kv_ttl_ms, 2000,
+             "time that exports stay available after the engine was reclaimed, in ms");
+DEFINE_bool(checks_fencing, true, "refuse orders with an outdated fencing token");
+DEFINE_uint64(seed, 1, "random seed that selects the cache events that are not published");
+DEFINE_string(attempts_file, "", "file to append a JSON line to when an attempt arrives or ends");
 
 using namespace snipestall;
 
@@ -64,7 +66,8 @@
     options.service = FLAGS_service;
     options.instanceClass = FLAGS_class;
     options.models = splitModels();
-    options.incarnation = FLAGS_incarnation != 0 ? FLAGS_incarnation : standins::freshIncarnation();
+    options.incarnation =
+        FLAGS_incarnation != 0 ? FLAGS_incarnation : standins::incarnationFromClock();
     options.slots = FLAGS_slots;
     options.queue = FLAGS_queue;
     options.tokenTime = fraction<std::chrono::milliseconds>(FLAGS_token_ms);
@@ -83,7 +86,7 @@
     return options;
 }
 
-/// The process around one engine: its two listeners, its place in the list, its end.
+/// Runs one engine as a process: its two listeners, its registration and its shutdown.
 class EngineProcess
 {
 public:
@@ -98,7 +101,7 @@
                 return m_engine.serveKv(exchange);
             });
         m_engine.setKvAddress(m_kvServer->endpoint().toString());
-        m_engine.onTaken([this] { spawn(leave()); });
+        m_engine.onReclaimed([this] { spawn(leave()); });
         m_server = standins::listenOrExit(
             io, FLAGS_listen, FLAGS_port_file,
             [this](wire::HttpExchange &exchange) { return m_engine.serve(exchange); });
@@ -107,7 +110,7 @@
     void run()
     {
         spawn(m_engine.run());
-        spawn(m_registration.add(listing()));
+        spawn(m_registration.add(instanceRecord()));
         standins::runUntilSignal(m_io, [this] { spawn(stop()); });
     }
 
@@ -117,7 +120,7 @@
         boost::asio::co_spawn(m_io, std::move(task), boost::asio::detached);
     }
 
-    [[nodiscard]] standins::Listing listing() const
+    [[nodiscard]] standins::InstanceRecord instanceRecord() const
     {
         const auto &options = m_engine.options();
         std::string address =
@@ -133,7 +136,8 @@
         m_io.stop();
     }
 
-    // Exports outlive the engine for a while, as they would in the memory of a neighbour.
+    // KV exports stay available for `kvTtl` after the engine has left, as if another machine held
+    // them in memory.
     wire::Task<void> leave()
     {
         m_server->stopAccepting();
--- a/standins/engine/order_log.cpp
+++ b/standins/engine/order_log.cpp
@@ -16,15 +16,15 @@
     order.model = textField(body, "model");
     order.role = textField(body, "role");
     if (order.kind != "load" && order.kind != "unload" && order.kind != "role")
-        throw std::invalid_argument("an order's kind is load, unload or role");
+        throw std::invalid_argument("'kind' must be load, unload or role");
     return order;
 }
 
 bool OrderLog::add(Order order)
 {
-    if (m_checksFencing && order.fencing < m_greatest)
+    if (m_checksFencing && order.fencing < m_greatestFencing)
         return false;
-    m_greatest = std::max(m_greatest, order.fencing);
+    m_greatestFencing = std::max(m_greatestFencing, order.fencing);
     m_orders.push_back(std::move(order));
     return true;
 }
@@ -44,7 +44,7 @@
         orders.push_back(std::move(object));
     }
     boost::json::object answer;
-    answer["fencing"] = m_greatest;
+    answer["fencing"] = m_greatestFencing;
     answer["orders"] = std::move(orders);
     return answer;
 }
--- a/standins/engine/order_log.hpp
+++ b/standins/engine/order_log.hpp
@@ -8,7 +8,7 @@
 
 namespace snipestall::standins {
 
-/// One order to load or unload a model or to change role.
+/// An order to load a model, unload a model or change the role.
 struct Order
 {
     std::string id;
@@ -18,7 +18,7 @@
     std::string role;
 };
 
-/// The orders that an engine carried out, in order.
+/// The orders that an engine has accepted, oldest first.
 class OrderLog
 {
 public:
@@ -26,15 +26,16 @@
         : m_checksFencing(checksFencing)
     { }
 
-    /// Throws std::invalid_argument for a body that the protocol does not allow.
+    /// Throws std::invalid_argument if the body is not a valid order.
     static Order parse(const boost::json::object &body);
-    /// False for an old fencing number, where the engine checks them.
+    /// Returns false if fencing tokens are checked and the order's token is lower than the greatest
+    /// accepted one.
     bool add(Order order);
     [[nodiscard]] boost::json::object toJson() const;
 
 private:
     bool m_checksFencing;
-    std::uint64_t m_greatest = 0;
+    std::uint64_t m_greatestFencing = 0;
     std::vector<Order> m_orders;
 };
 
--- a/standins/engine/prefix_cache.cpp
+++ b/standins/engine/prefix_cache.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t BlockCharacters = 64;
 constexpr std::int64_t BlockTokens = 16;
-constexpr std::size_t KeptEvents = 20000;
+constexpr std::size_t MaxKeptEvents = 20000;
 
 std::uint64_t prefixHash(std::string_view prompt, std::size_t blocks)
 {
@@ -63,7 +63,7 @@
     if (m_random.uniform() < m_options.eventGap)
         return;
     m_events.push_back({ m_lastNumber, now, prefix, present });
-    if (m_events.size() > KeptEvents)
+    if (m_events.size() > MaxKeptEvents)
         m_events.pop_front();
 }
 
--- a/standins/engine/prefix_cache.hpp
+++ b/standins/engine/prefix_cache.hpp
@@ -13,7 +13,7 @@
 
 namespace snipestall::standins {
 
-/// One published change of the cache.
+/// One insertion or eviction of a cached prefix.
 struct CacheEvent
 {
     std::uint64_t number = 0;
@@ -22,8 +22,8 @@
     bool present = false;
 };
 
-/// Cached prompt prefixes by blocks of 64 characters, least recently used out first. Its events
-/// are published late, and some never.
+/// LRU cache of prompt prefixes in blocks of 64 characters. Its events are published with a delay,
+/// and some are never published.
 class PrefixCache
 {
 public:
@@ -37,10 +37,10 @@
 
     explicit PrefixCache(const Options &options);
 
-    /// Tokens of the longest cached prefix.
+    /// Number of tokens of the longest cached prefix of the prompt.
     [[nodiscard]] std::int64_t cachedTokens(std::string_view prompt) const;
     void insert(SteadyTime now, std::string_view prompt);
-    /// Events after a number, as far as they are published by now.
+    /// The events with a greater number than `number` that are published at `now`.
     [[nodiscard]] std::vector<CacheEvent> eventsAfter(SteadyTime now, std::uint64_t number) const;
 
 private:
@@ -49,6 +49,7 @@
 
     Options m_options;
     Random m_random;
+    /// Prefixes by time of use, most recently used first.
     std::list<std::uint64_t> m_recent;
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_blocks;
     std::deque<CacheEvent> m_events;
--- a/standins/engine/prefix_cache_test.cpp
+++ b/standins/engine/prefix_cache_test.cpp
@@ -12,7 +12,7 @@
     return PrefixCache({ blocks, std::chrono::milliseconds(200), gap, 1 });
 }
 
-TEST(PrefixCacheTest, KnowsTheLongestSharedPrefixInWholeBlocks)
+TEST(PrefixCacheTest, FindsLongestSharedPrefixInWholeBlocks)
 {
     PrefixCache cache = cacheOf(100);
     const std::string shared(130, 'a');
@@ -21,7 +21,7 @@
     EXPECT_EQ(cache.cachedTokens("b" + shared), 0);
 }
 
-TEST(PrefixCacheTest, ForgetsTheLeastRecentlyUsedBlockAndSaysSoLate)
+TEST(PrefixCacheTest, EvictsLeastRecentlyUsedBlockAndPublishesLate)
 {
     PrefixCache cache = cacheOf(2);
     const std::string first(64, 'a');
@@ -39,7 +39,7 @@
     EXPECT_FALSE(events[2].present);
 }
 
-TEST(PrefixCacheTest, AGapLeavesTheEventOut)
+TEST(PrefixCacheTest, GapSuppressesEvent)
 {
     PrefixCache cache = cacheOf(2, 1.0);
     cache.insert(Start, std::string(64, 'a'));
--- a/standins/platform/cloud.cpp
+++ b/standins/platform/cloud.cpp
@@ -12,7 +12,7 @@
 
 void Cloud::add(SteadyTime now, ListedInstance instance)
 {
-    Listing listing = m_listing.latest();
+    InstancesByName listing = m_listing.latest();
     m_noticeEnds.erase(instance.name);
     listing.insert_or_assign(instance.name, std::move(instance));
     m_listing.set(now, std::move(listing));
@@ -20,16 +20,16 @@
 
 void Cloud::remove(SteadyTime now, const std::string &name)
 {
-    Listing listing = m_listing.latest();
+    InstancesByName listing = m_listing.latest();
     listing.erase(name);
     m_noticeEnds.erase(name);
     m_listing.set(now, std::move(listing));
 }
 
-std::optional<ListedInstance> Cloud::notice(SteadyTime now, const std::string &name,
-                                            std::chrono::milliseconds left)
+std::optional<ListedInstance> Cloud::markLeaving(SteadyTime now, const std::string &name,
+                                                 std::chrono::milliseconds left)
 {
-    Listing listing = m_listing.latest();
+    InstancesByName listing = m_listing.latest();
     const auto found = listing.find(name);
     if (found == listing.end())
         return std::nullopt;
@@ -66,7 +66,7 @@
     return std::max(left, std::chrono::milliseconds(0));
 }
 
-bool Cloud::admits(const std::string &dataCentre, std::uint64_t fencing)
+bool Cloud::acceptFencing(const std::string &dataCentre, std::uint64_t fencing)
 {
     std::uint64_t &greatest = m_fencing[dataCentre];
     if (fencing < greatest)
--- a/standins/platform/main.cpp
+++ b/standins/platform/main.cpp
@@ -4,11 +4,11 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(listen, "127.0.0.1:0", "IP:PORT to listen on");
-DEFINE_string(port_file, "", "file that gets the real port");
-DEFINE_double(writes_per_second, 0, "rows written per second at most; 0: no limit");
-DEFINE_double(reads_per_second, 0, "rows read per second at most; 0: no limit");
-DEFINE_double(weights_mb, 100, "size of each model's weights");
-DEFINE_double(weights_mb_per_second, 0, "rate of the weight store; 0: no limit");
+DEFINE_string(port_file, "", "file to write the bound port to");
+DEFINE_double(writes_per_second, 0, "maximum rows written per second; 0: no limit");
+DEFINE_double(reads_per_second, 0, "maximum rows read per second; 0: no limit");
+DEFINE_double(weights_mb, 100, "size of the weights of each model, in MB");
+DEFINE_double(weights_mb_per_second, 0, "rate of the weight store, in MB per second; 0: no limit");
 
 using namespace snipestall;
 
--- a/standins/platform/platform.cpp
+++ b/standins/platform/platform.cpp
@@ -29,8 +29,8 @@
     return std::chrono::steady_clock::now();
 }
 
-/// What follows the last slash, with query cut off.
-std::string lastPart(const HttpRequest &request)
+/// The last segment of the path, without the query.
+std::string lastPathSegment(const HttpRequest &request)
 {
     const std::string_view path = request.path();
     return std::string(path.substr(path.rfind('/') + 1));
@@ -71,7 +71,7 @@
         { "POST", "/cloud/start", &Platform::start },
         { "POST", "/cloud/release", &Platform::release },
         { "POST", "/cloud/notice", &Platform::giveNotice },
-        { "GET", "/cloud/notice", &Platform::askNotice },
+        { "GET", "/cloud/notice", &Platform::getNotice },
         { "GET", "/weights/", nullptr, &Platform::weights },
         { "POST", "/control/faults", &Platform::changeFaults },
         { "GET", "/control/counters", &Platform::counters },
@@ -83,9 +83,9 @@
 Task<void> Platform::serve(HttpExchange &exchange)
 {
     const std::string path(exchange.request().path());
-    if (m_faults.of(path) == PartState::Slow)
+    if (m_faults.stateOf(path) == PartState::Slow)
         co_await wire::sleepFor(m_faults.slow);
-    if (m_faults.of(path) == PartState::Down) {
+    if (m_faults.stateOf(path) == PartState::Down) {
         exchange.abort();
         co_return;
     }
@@ -174,15 +174,15 @@
 
 HttpResponse Platform::removeInstance(const HttpRequest &request)
 {
-    m_cloud.remove(now(), lastPart(request));
+    m_cloud.remove(now(), lastPathSegment(request));
     return noContent();
 }
 
 HttpResponse Platform::start(const HttpRequest &request)
 {
     const auto order = parseStart(parseObject(request.body));
-    if (!m_cloud.admits(order.dataCentre, order.fencing))
-        return errorResponse(409, "old fencing number; a newer one has been seen");
+    if (!m_cloud.acceptFencing(order.dataCentre, order.fencing))
+        return errorResponse(409, "outdated fencing token; a newer one has been seen");
     const bool repeated = m_cloud.started(order.order);
     if (m_faults.refuseStarts && !repeated) {
         ++m_counters.refusedStarts;
@@ -200,8 +200,8 @@
     const auto body = parseObject(request.body);
     const std::string name = textField(body, "instance");
     const auto fencing = static_cast<std::uint64_t>(numberField(body, "fencing"));
-    if (!m_cloud.admits(m_cloud.dataCentreOf(name), fencing))
-        return errorResponse(409, "old fencing number; a newer one has been seen");
+    if (!m_cloud.acceptFencing(m_cloud.dataCentreOf(name), fencing))
+        return errorResponse(409, "outdated fencing token; a newer one has been seen");
     if (!m_cloud.release(now(), name))
         return errorResponse(404, "no such instance");
     return noContent();
@@ -212,20 +212,20 @@
     const auto body = parseObject(request.body);
     const std::string name = textField(body, "instance");
     const auto left = millisecondsField(body, "notice_ms", std::chrono::milliseconds(0));
-    const auto noticed = m_cloud.notice(now(), name, left);
+    const auto noticed = m_cloud.markLeaving(now(), name, left);
     if (!noticed)
-        return errorResponse(404, "no such instance in the list");
-    boost::asio::co_spawn(m_io, removeAtEnd(name, left), boost::asio::detached);
+        return errorResponse(404, "the instance is not listed");
+    boost::asio::co_spawn(m_io, removeAfterNotice(name, left), boost::asio::detached);
     if (noticed->role == platform::InstanceRole::Backend) {
         json::object order;
         order["notice_ms"] = left.count();
-        boost::asio::co_spawn(m_io, tellBackend(noticed->address, json::serialize(order)),
+        boost::asio::co_spawn(m_io, forwardNotice(noticed->address, json::serialize(order)),
                               boost::asio::detached);
     }
     return noContent();
 }
 
-HttpResponse Platform::askNotice(const HttpRequest &request)
+HttpResponse Platform::getNotice(const HttpRequest &request)
 {
     json::object answer;
     const auto left = m_cloud.noticeLeft(now(), request.query("instance"));
@@ -234,7 +234,7 @@
     return jsonResponse(answer);
 }
 
-Task<void> Platform::tellBackend(std::string address, std::string body)
+Task<void> Platform::forwardNotice(std::string address, std::string body)
 {
     const auto endpoint = wire::Endpoint::parse(address);
     if (!endpoint)
@@ -243,9 +243,9 @@
     co_await m_client.fetch(*endpoint, std::move(request));
 }
 
-// The cloud takes the instance when the notice ends, whether or not it has left by itself. A
-// newer incarnation under the same name has no notice and stays.
-Task<void> Platform::removeAtEnd(std::string name, std::chrono::milliseconds left)
+// The cloud reclaims the instance when the notice ends, whether or not it has left by itself. A
+// newer incarnation under the same name has no notice and is kept.
+Task<void> Platform::removeAfterNotice(std::string name, std::chrono::milliseconds left)
 {
     co_await wire::sleepFor(left);
     const auto remaining = m_cloud.noticeLeft(now(), name);
@@ -255,7 +255,7 @@
 
 Task<void> Platform::weights(HttpExchange &exchange)
 {
-    const std::string model = lastPart(exchange.request());
+    const std::string model = lastPathSegment(exchange.request());
     co_await wire::sleepFor(m_weightPacer.reserve(now(), m_options.weightsMegabytes));
     json::object answer;
     answer["model"] = model;
--- a/standins/platform/platform.hpp
+++ b/standins/platform/platform.hpp
@@ -18,7 +18,7 @@
 
 namespace snipestall::standins {
 
-/// Rates at which the stand-in serves; 0 is without a limit.
+/// Simulated rates of the platform, where 0 means no limit, and the size of a model's weights.
 struct PlatformOptions
 {
     double writesPerSecond = 0;
@@ -27,7 +27,7 @@
     double weightsMegabytesPerSecond = 0;
 };
 
-/// The platform's calls over HTTP; see docs/design/standin-protocols.md.
+/// A stand-in for the platform with an HTTP interface; see docs/design/standin-protocols.md.
 class Platform
 {
 public:
@@ -60,14 +60,14 @@
     wire::HttpResponse start(const wire::HttpRequest &request);
     wire::HttpResponse release(const wire::HttpRequest &request);
     wire::HttpResponse giveNotice(const wire::HttpRequest &request);
-    wire::HttpResponse askNotice(const wire::HttpRequest &request);
+    wire::HttpResponse getNotice(const wire::HttpRequest &request);
     wire::Task<void> weights(wire::HttpExchange &exchange);
     wire::HttpResponse changeFaults(const wire::HttpRequest &request);
     wire::HttpResponse counters(const wire::HttpRequest &request);
     wire::HttpResponse starts(const wire::HttpRequest &request);
 
-    wire::Task<void> tellBackend(std::string address, std::string body);
-    wire::Task<void> removeAtEnd(std::string name, std::chrono::milliseconds left);
+    wire::Task<void> forwardNotice(std::string address, std::string body);
+    wire::Task<void> removeAfterNotice(std::string name, std::chrono::milliseconds left);
 
     boost::asio::io_context &m_io;
     PlatformOptions m_options;
--- a/standins/platform/platform_faults.cpp
+++ b/standins/platform/platform_faults.cpp
@@ -31,7 +31,7 @@
         return PartState::Down;
     if (text == "slow")
         return PartState::Slow;
-    throw std::invalid_argument("a part's state is up, down or slow");
+    throw std::invalid_argument("the state of a part must be up, down or slow");
 }
 
 } // namespace
@@ -50,7 +50,7 @@
     *this = changed;
 }
 
-PartState PlatformFaults::of(std::string_view path) const
+PartState PlatformFaults::stateOf(std::string_view path) const
 {
     for (const auto &part : Parts) {
         if (path.starts_with(part.pathPrefix))
--- a/standins/platform/platform_faults.hpp
+++ b/standins/platform/platform_faults.hpp
@@ -14,7 +14,7 @@
     Slow,
 };
 
-/// What the test has ordered to go wrong, by part of the platform.
+/// Faults that a test has requested, by part of the platform.
 struct PlatformFaults
 {
     PartState table = PartState::Up;
@@ -23,14 +23,15 @@
     PartState cloud = PartState::Up;
     std::chrono::milliseconds slow { 0 };
     std::chrono::milliseconds listLag { 0 };
-    /// Transactions still to be carried out and then cut without an answer.
+    /// Number of next transactions that are executed but whose connection is cut without an answer.
     std::int64_t loseAnswers = 0;
     bool refuseStarts = false;
 
-    /// Changes what the body names and leaves the rest; throws std::invalid_argument.
+    /// Changes the faults that the body names and keeps the others. Throws std::invalid_argument
+    /// for an invalid field.
     void change(const boost::json::object &body);
-    /// State of the part that a path belongs to; calls of the test itself are always up.
-    [[nodiscard]] PartState of(std::string_view path) const;
+    /// State of the part that serves a path. Control calls of the test are always up.
+    [[nodiscard]] PartState stateOf(std::string_view path) const;
 };
 
 } // namespace snipestall::standins
--- a/standins/platform/platform_json.cpp
+++ b/standins/platform/platform_json.cpp
@@ -69,7 +69,7 @@
     instance.instanceClass = textField(body, "class");
     instance.leaving = flagField(body, "leaving");
     if (instance.name.empty())
-        throw std::invalid_argument("an instance has a name");
+        throw std::invalid_argument("'name' must not be empty");
     return instance;
 }
 
@@ -82,7 +82,7 @@
     order.dataCentre = textField(body, "data_centre");
     order.instanceClass = textField(body, "class");
     if (order.order.empty())
-        throw std::invalid_argument("a start has an order id");
+        throw std::invalid_argument("'order' must not be empty");
     return order;
 }
 
--- a/standins/platform/platform_json.hpp
+++ b/standins/platform/platform_json.hpp
@@ -14,7 +14,7 @@
 
 namespace snipestall::standins {
 
-// Readers throw std::invalid_argument for a body that the protocol does not allow.
+// The parse functions throw std::invalid_argument for an invalid body.
 platform::Transaction parseTransaction(const boost::json::object &body);
 std::vector<platform::RowKey> parseKeys(const boost::json::object &body);
 platform::ListedInstance parseInstance(const boost::json::object &body);
--- a/standins/platform/table.cpp
+++ b/standins/platform/table.cpp
@@ -37,11 +37,12 @@
     if (!write.value) {
         if (cell == m_cells.end())
             return;
-        m_greatestDeleted = std::max(m_greatestDeleted, cell->second.version);
+        m_greatestDeletedVersion = std::max(m_greatestDeletedVersion, cell->second.version);
         m_cells.erase(cell);
         return;
     }
-    const std::uint64_t before = cell == m_cells.end() ? m_greatestDeleted : cell->second.version;
+    const std::uint64_t before =
+        cell == m_cells.end() ? m_greatestDeletedVersion : cell->second.version;
     m_cells[write.key] = Cell { *write.value, before + 1 };
 }
 
--- a/standins/platform/table.hpp
+++ b/standins/platform/table.hpp
@@ -13,12 +13,13 @@
 
 namespace snipestall::standins {
 
-/// The platform's transactional table, in memory.
+/// In-memory implementation of the platform's transactional table.
 class Table
 {
 public:
-    /// All or nothing. Raises the version of each row written by one; a row made anew after a
-    /// deletion gets a version that no row had before.
+    /// Applies all writes if every condition holds, otherwise none. Increments the version of each
+    /// written row by one. A row that is recreated after a deletion gets a version greater than any
+    /// deleted row had, so that no version of the row is reused.
     platform::TransactionOutcome transact(const platform::Transaction &transaction);
     [[nodiscard]] std::vector<platform::Row> read(std::span<const platform::RowKey> keys) const;
     [[nodiscard]] std::vector<platform::Row> scan(std::string_view table, std::string_view prefix,
@@ -35,7 +36,7 @@
     void apply(const platform::Write &write);
 
     std::map<platform::RowKey, Cell> m_cells;
-    std::uint64_t m_greatestDeleted = 0;
+    std::uint64_t m_greatestDeletedVersion = 0;
 };
 
 } // namespace snipestall::standins
--- a/standins/platform/table_test.cpp
+++ b/standins/platform/table_test.cpp
@@ -16,7 +16,7 @@
     return rows.empty() ? 0 : rows.front().version;
 }
 
-TEST(TableTest, AFailedConditionKeepsEveryWriteOut)
+TEST(TableTest, FailedConditionPreventsAllWrites)
 {
     Table table;
     ASSERT_TRUE(table.transact({ { { KeyA, 0 } }, { { KeyA, "1" } } }).committed);
@@ -29,10 +29,10 @@
     EXPECT_EQ(versionOf(table, KeyA), 1);
 }
 
-// Two holders of a row: one deletes it and another makes it anew with the same content, while the
-// first still waits with its old version. If a version came back, the first one's write would
-// overwrite what it never read.
-TEST(TableTest, AVersionNeverComesBackAfterADeletion)
+// Guards against a lost update: a row is deleted and recreated with the same content while a client
+// still holds its old version. If the version were reused, the write of that client would overwrite
+// a row that it never read.
+TEST(TableTest, VersionIsNotReusedAfterDeletion)
 {
     Table table;
     table.transact({ {}, { { KeyA, "1" } } });
@@ -43,7 +43,7 @@
     EXPECT_FALSE(table.transact({ { { KeyA, before } }, {} }).committed);
 }
 
-TEST(TableTest, AScanGoesOnAfterItsLastKeyAndStaysInItsPrefix)
+TEST(TableTest, ScanContinuesAfterLastKeyWithinPrefix)
 {
     Table table;
     for (const auto *key : { "p/1", "p/2", "p/3", "q/1" })
--- a/standins/proxy/fault_state.cpp
+++ b/standins/proxy/fault_state.cpp
@@ -35,10 +35,10 @@
         if (choice.name == text)
             return choice;
     }
-    throw std::invalid_argument("drop is none, to_target, to_client or both");
+    throw std::invalid_argument("'drop' must be none, to_target, to_client or both");
 }
 
-/// A negative number takes the order back.
+/// A negative number cancels the requested cut.
 std::optional<std::size_t> bytesField(const boost::json::object &body, std::string_view name)
 {
     const std::int64_t bytes = numberField(body, name, -1);
@@ -48,7 +48,7 @@
 } // namespace
 
 FaultState::FaultState(asio::io_context &io)
-    : m_thaw(io, asio::steady_timer::time_point::max())
+    : m_freezeEnded(io, asio::steady_timer::time_point::max())
 { }
 
 void FaultState::change(const boost::json::object &body)
@@ -66,21 +66,21 @@
     m_refuse = flagField(body, "refuse", m_refuse);
     m_freeze = flagField(body, "freeze", m_freeze);
     if (!m_freeze)
-        m_thaw.cancel();
+        m_freezeEnded.cancel();
 }
 
-wire::Task<void> FaultState::whileFrozen()
+wire::Task<void> FaultState::waitWhileFrozen()
 {
     while (m_freeze)
-        co_await m_thaw.async_wait(asio::as_tuple(asio::use_awaitable));
+        co_await m_freezeEnded.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-std::size_t FaultState::allowed(Direction direction, std::size_t bytes) const
+std::size_t FaultState::allowedBytes(Direction direction, std::size_t bytes) const
 {
     return std::min(bytes, flow(direction).bytesToCut.value_or(bytes));
 }
 
-bool FaultState::passed(Direction direction, std::size_t bytes)
+bool FaultState::countPassed(Direction direction, std::size_t bytes)
 {
     Flow &counted = flow(direction);
     counted.bytes += bytes;
--- a/standins/proxy/fault_state.hpp
+++ b/standins/proxy/fault_state.hpp
@@ -25,21 +25,26 @@
 public:
     explicit FaultState(boost::asio::io_context &io);
 
-    /// Changes what the body names and leaves the rest; throws std::invalid_argument.
+    /// Changes the faults that the body names and keeps the others. Throws std::invalid_argument
+    /// for an invalid field.
     void change(const boost::json::object &body);
 
     [[nodiscard]] std::chrono::milliseconds delay() const { return m_delay; }
     [[nodiscard]] bool refuses() const { return m_refuse; }
     [[nodiscard]] bool drops(Direction direction) const { return flow(direction).drop; }
-    /// Returns once no freeze holds.
-    wire::Task<void> whileFrozen();
+    /// Waits until the proxy is not frozen.
+    wire::Task<void> waitWhileFrozen();
 
-    /// How many of so many bytes may pass before the cut that was ordered.
-    [[nodiscard]] std::size_t allowed(Direction direction, std::size_t bytes) const;
-    /// Counts bytes passed; true if the connection must be cut now. One cut per order.
-    bool passed(Direction direction, std::size_t bytes);
-    void dropped(Direction direction, std::size_t bytes) { flow(direction).droppedBytes += bytes; }
-    void connected() { ++m_connections; }
+    /// Returns how many of `bytes` may pass before a requested cut.
+    [[nodiscard]] std::size_t allowedBytes(Direction direction, std::size_t bytes) const;
+    /// Counts bytes that were passed on. Returns true if the connection must be cut now. Each
+    /// request for a cut cuts only one connection.
+    bool countPassed(Direction direction, std::size_t bytes);
+    void countDropped(Direction direction, std::size_t bytes)
+    {
+        flow(direction).droppedBytes += bytes;
+    }
+    void countConnection() { ++m_connections; }
     [[nodiscard]] boost::json::object counters() const;
 
 private:
@@ -62,7 +67,7 @@
     bool m_freeze = false;
     bool m_refuse = false;
     std::uint64_t m_connections = 0;
-    boost::asio::steady_timer m_thaw;
+    boost::asio::steady_timer m_freezeEnded;
 };
 
 } // namespace snipestall::standins
--- a/standins/proxy/main.cpp
+++ b/standins/proxy/main.cpp
@@ -9,16 +9,16 @@
 #include <iostream>
 
 DEFINE_string(listen, "127.0.0.1:0", "IP:PORT to listen on");
-DEFINE_string(port_file, "", "file that gets the real port");
-DEFINE_string(target, "", "IP:PORT to connect to");
-DEFINE_string(control, "127.0.0.1:0", "IP:PORT of the control calls");
-DEFINE_string(control_port_file, "", "file that gets the control calls' real port");
+DEFINE_string(port_file, "", "file to write the bound port to");
+DEFINE_string(target, "", "IP:PORT to forward connections to");
+DEFINE_string(control, "127.0.0.1:0", "IP:PORT to listen on for control calls");
+DEFINE_string(control_port_file, "", "file to write the bound port of the control listener to");
 
 using namespace snipestall;
 
 int main(int argc, char **argv)
 {
-    standins::parseFlags(argc, argv, "TCP proxy that brings about faults");
+    standins::parseFlags(argc, argv, "TCP proxy that injects faults");
     boost::asio::io_context io;
     const auto listen = standins::endpointOrExit(FLAGS_listen);
     const auto target = standins::endpointOrExit(FLAGS_target);
--- a/standins/proxy/proxy.cpp
+++ b/standins/proxy/proxy.cpp
@@ -68,7 +68,7 @@
             co_return;
         if (ec || m_faults.refuses())
             continue;
-        m_faults.connected();
+        m_faults.countConnection();
         std::erase_if(m_sessions, [](const auto &session) { return session.expired(); });
         const auto session = std::make_shared<Session>(m_faults, std::move(socket));
         m_sessions.push_back(session);
@@ -96,7 +96,7 @@
     if (body.contains("target")) {
         const auto target = wire::Endpoint::parse(textField(body, "target"));
         if (!target)
-            throw std::invalid_argument("target is IP:PORT");
+            throw std::invalid_argument("'target' must be IP:PORT");
         m_target = toTcp(*target);
     }
     m_faults.change(body);
--- a/standins/proxy/proxy.hpp
+++ b/standins/proxy/proxy.hpp
@@ -17,17 +17,17 @@
 
 class Session;
 
-/// TCP proxy that delays, drops, freezes, refuses and cuts on command.
+/// TCP proxy that delays, drops, freezes, refuses or cuts connections on request.
 class Proxy
 {
 public:
-    /// Opens the listener; Unavailable if that fails.
+    /// Opens the listener. Fails with Unavailable if that is not possible.
     static Result<std::unique_ptr<Proxy>>
     create(boost::asio::io_context &io, const wire::Endpoint &listen, const wire::Endpoint &target);
 
     [[nodiscard]] wire::Endpoint endpoint() const;
     wire::Task<void> acceptAll();
-    /// The control listener's calls.
+    /// Serves the calls of the control listener.
     wire::Task<void> serve(wire::HttpExchange &exchange);
     wire::HttpResponse changeFaults(const wire::HttpRequest &request);
     wire::HttpResponse counters(const wire::HttpRequest &request);
--- a/standins/proxy/proxy_test.cpp
+++ b/standins/proxy/proxy_test.cpp
@@ -19,14 +19,14 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-/// A proxy on its own thread between two plain sockets of the test.
+/// Runs a proxy on its own thread between two plain sockets of the test.
 class ProxyTest : public testing::Test
 {
 protected:
     ProxyTest()
-        : m_listener(m_own, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0))
-        , m_client(m_own)
-        , m_server(m_own)
+        : m_listener(m_testIo, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0))
+        , m_client(m_testIo)
+        , m_server(m_testIo)
     { }
 
     void SetUp() override
@@ -47,7 +47,8 @@
         m_thread.join();
     }
 
-    /// Runs on the proxy's thread and waits, so that the order of faults and bytes is known.
+    /// Applies the faults on the proxy's thread and waits for it, so that the order of faults and
+    /// bytes is known.
     void order(const std::string &faults)
     {
         std::promise<void> done;
@@ -69,8 +70,8 @@
         return value.get_future().get();
     }
 
-    /// The proxy counts bytes right after it has passed them on; the test's own limit ends a
-    /// wait that never comes true.
+    /// Waits because the proxy counts bytes only after it has forwarded them. If the value is never
+    /// reached, the time limit of the test ends the wait.
     void waitForCounter(const std::string &name, std::uint64_t value)
     {
         while (counter(name) != value)
@@ -91,7 +92,7 @@
     }
 
     asio::io_context m_io;
-    asio::io_context m_own;
+    asio::io_context m_testIo;
     tcp::acceptor m_listener;
     tcp::socket m_client;
     tcp::socket m_server;
@@ -99,7 +100,7 @@
     std::thread m_thread;
 };
 
-TEST_F(ProxyTest, CarriesBytesAndTheEndOfOneSide)
+TEST_F(ProxyTest, ForwardsBytesAndHalfClose)
 {
     send(m_client, "hello");
     EXPECT_EQ(readSome(m_server), "hello");
@@ -109,7 +110,7 @@
     EXPECT_EQ(readSome(m_client), "answer");
 }
 
-TEST_F(ProxyTest, CutsAfterTheBytesOrderedAndOnce)
+TEST_F(ProxyTest, CutsOnceAfterRequestedBytes)
 {
     order(R"({"cut_after_bytes_to_target":3})");
     send(m_client, "hello");
@@ -130,7 +131,7 @@
     EXPECT_EQ(readSome(m_client), "seen");
 }
 
-TEST_F(ProxyTest, AFreezeKeepsBytesAndGivesThemBack)
+TEST_F(ProxyTest, FreezeHoldsBytesAndReleasesThem)
 {
     order(R"({"freeze":true})");
     send(m_client, "frozen");
--- a/standins/proxy/session.cpp
+++ b/standins/proxy/session.cpp
@@ -19,16 +19,16 @@
 
 constexpr auto UseTuple = asio::as_tuple(asio::use_awaitable);
 constexpr std::size_t ReadBytes = 16 * 1024;
-/// A flow that holds this much is not read any further: the sender feels the back-pressure.
+/// Reading pauses while a flow buffers more than this, so that back-pressure reaches the sender.
 constexpr std::size_t MaxWaitingBytes = 1024 * 1024;
 
 } // namespace
 
-Session::Flow::Flow(Direction d, tcp::socket &f, tcp::socket &t)
-    : direction(d)
-    , from(f)
-    , to(t)
-    , changed(f.get_executor(), SteadyTime::max())
+Session::Flow::Flow(Direction flowDirection, tcp::socket &source, tcp::socket &destination)
+    : direction(flowDirection)
+    , from(source)
+    , to(destination)
+    , changed(source.get_executor(), SteadyTime::max())
 { }
 
 Session::Session(FaultState &faults, tcp::socket client)
@@ -42,7 +42,7 @@
 Task<void> Session::run(tcp::endpoint target)
 {
     const auto self = shared_from_this();
-    co_await m_faults.whileFrozen();
+    co_await m_faults.waitWhileFrozen();
     if (m_closed)
         co_return;
     auto [ec] = co_await m_target.async_connect(target, UseTuple);
@@ -81,7 +81,7 @@
     flow.changed.cancel();
 }
 
-Task<void> Session::changed(Flow &flow)
+Task<void> Session::waitForChange(Flow &flow)
 {
     co_await flow.changed.async_wait(UseTuple);
 }
@@ -92,7 +92,7 @@
     std::array<char, ReadBytes> buffer {};
     while (!m_closed) {
         while (flow.waitingBytes > MaxWaitingBytes && !m_closed)
-            co_await changed(flow);
+            co_await waitForChange(flow);
         auto [ec, bytes] = co_await flow.from.async_read_some(asio::buffer(buffer), UseTuple);
         Chunk chunk;
         chunk.bytes.assign(buffer.data(), bytes);
@@ -118,14 +118,14 @@
 Task<bool> Session::writeNext(Flow &flow)
 {
     while (flow.chunks.empty() && !m_closed)
-        co_await changed(flow);
+        co_await waitForChange(flow);
     if (m_closed)
         co_return false;
     Chunk chunk = std::move(flow.chunks.front());
     flow.chunks.pop_front();
     asio::steady_timer due(m_client.get_executor(), chunk.due);
     co_await due.async_wait(UseTuple);
-    co_await m_faults.whileFrozen();
+    co_await m_faults.waitWhileFrozen();
     if (m_closed)
         co_return false;
     flow.waitingBytes -= chunk.bytes.size();
@@ -134,12 +134,12 @@
     co_return more;
 }
 
-// A direction that drops swallows the end of a flow too, as a network partition would: the other
-// side goes on believing in the connection.
+// A direction that drops bytes also drops the end of its flow, as a network partition would, so
+// that the receiver still considers the connection open.
 Task<bool> Session::deliver(Flow &flow, Chunk chunk)
 {
     if (m_faults.drops(flow.direction)) {
-        m_faults.dropped(flow.direction, chunk.bytes.size());
+        m_faults.countDropped(flow.direction, chunk.bytes.size());
         co_return chunk.kind == ChunkKind::Bytes;
     }
     if (chunk.kind == ChunkKind::Reset) {
@@ -151,10 +151,10 @@
         flow.to.shutdown(tcp::socket::shutdown_send, ignored);
         co_return false;
     }
-    const std::size_t allowed = m_faults.allowed(flow.direction, chunk.bytes.size());
+    const std::size_t allowed = m_faults.allowedBytes(flow.direction, chunk.bytes.size());
     auto [ec, written] =
         co_await asio::async_write(flow.to, asio::buffer(chunk.bytes.data(), allowed), UseTuple);
-    const bool cut = m_faults.passed(flow.direction, written);
+    const bool cut = m_faults.countPassed(flow.direction, written);
     if (ec || cut) {
         close();
         co_return false;
--- a/standins/proxy/session.hpp
+++ b/standins/proxy/session.hpp
@@ -14,23 +14,23 @@
 
 namespace snipestall::standins {
 
-/// One proxied connection: two flows of bytes, each read, kept back and written by its own pair
-/// of coroutines, so that a delay does not lower the throughput.
+/// One proxied connection. Each of its two byte flows has one coroutine that reads and one that
+/// writes after the delay, so that a delay does not lower the throughput.
 class Session : public std::enable_shared_from_this<Session>
 {
 public:
     Session(FaultState &faults, boost::asio::ip::tcp::socket client);
 
-    /// Connects to the target and spawns the flows.
+    /// Connects to the target and starts both flows.
     wire::Task<void> run(boost::asio::ip::tcp::endpoint target);
     void close();
 
 private:
     enum class ChunkKind {
         Bytes,
-        /// The sender closed its side.
+        /// The sender closed its side of the connection.
         End,
-        /// The connection broke.
+        /// Reading failed, for example because the connection was reset.
         Reset,
     };
 
@@ -43,7 +43,8 @@
 
     struct Flow
     {
-        Flow(Direction d, boost::asio::ip::tcp::socket &f, boost::asio::ip::tcp::socket &t);
+        Flow(Direction flowDirection, boost::asio::ip::tcp::socket &source,
+             boost::asio::ip::tcp::socket &destination);
 
         Direction direction;
         boost::asio::ip::tcp::socket &from;
@@ -56,11 +57,11 @@
     void spawn(Flow &flow);
     wire::Task<void> readAll(Flow &flow);
     wire::Task<void> writeAll(Flow &flow);
-    /// False once the flow has ended.
+    /// Returns false once the flow has ended.
     wire::Task<bool> writeNext(Flow &flow);
     wire::Task<bool> deliver(Flow &flow, Chunk chunk);
     void push(Flow &flow, Chunk chunk);
-    static wire::Task<void> changed(Flow &flow);
+    static wire::Task<void> waitForChange(Flow &flow);
 
     FaultState &m_faults;
     boost::asio::ip::tcp::socket m_client;
--- a/standins/service/ledger_service.cpp
+++ b/standins/service/ledger_service.cpp
@@ -49,28 +49,28 @@
     run.key = request.fields.find("Idempotency-Key").value_or("");
     run.request = request.fields.find("Snipestall-Request").value_or("");
     run.attempt = request.fields.find("Snipestall-Attempt").value_or("");
-    if (m_noticed) {
+    if (m_noticedAt) {
         run.afterNoticeMs = std::chrono::duration_cast<std::chrono::milliseconds>(
-                                std::chrono::steady_clock::now() - *m_noticed)
+                                std::chrono::steady_clock::now() - *m_noticedAt)
                                 .count();
     }
     return run;
 }
 
-// The call takes effect when it arrives and is answered after its work, so that a cut in between
-// leaves an effect without an answer.
+// The call takes effect on arrival and is answered after the simulated work, so that a connection
+// cut in between leaves an effect without an answer.
 Task<void> LedgerService::call(HttpExchange &exchange)
 {
-    if (m_dropNext > 0) {
-        --m_dropNext;
+    if (m_callsToDrop > 0) {
+        --m_callsToDrop;
         exchange.abort();
         co_return;
     }
     const Run run = runOf(exchange.request());
     const std::int64_t count = m_runs.add(run);
-    const bool cut = m_cutNext > 0;
+    const bool cut = m_answersToCut > 0;
     if (cut)
-        --m_cutNext;
+        --m_answersToCut;
     ++m_running;
     co_await wire::sleepFor(m_options.work);
     --m_running;
@@ -78,13 +78,13 @@
         exchange.abort();
         co_return;
     }
-    const bool stranger = m_strangerNext > 0;
+    const bool stranger = m_strangerAnswers > 0;
     if (stranger)
-        --m_strangerNext;
-    const std::string own = run.key.empty() ? run.request : run.key;
+        --m_strangerAnswers;
+    const std::string receiptId = run.key.empty() ? run.request : run.key;
     const std::string attempt = stranger ? "stranger" : run.attempt;
     json::object answer;
-    answer["receipt"] = "receipt-" + (stranger ? attempt : own);
+    answer["receipt"] = "receipt-" + (stranger ? attempt : receiptId);
     answer["attempt"] = attempt;
     answer["runs"] = count;
     HttpResponse response = HttpResponse::json(200, json::serialize(answer));
@@ -102,10 +102,10 @@
     answer["slots"] = m_options.slots;
     answer["running"] = m_running;
     answer["queued"] = 0;
-    answer["leaving"] = m_noticed.has_value();
-    if (m_noticed) {
+    answer["leaving"] = m_noticedAt.has_value();
+    if (m_noticedAt) {
         const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
-            m_noticeEnd - std::chrono::steady_clock::now());
+            m_noticeEndsAt - std::chrono::steady_clock::now());
         answer["notice_ms"] = std::max<std::int64_t>(left.count(), 0);
     }
     answer["age_ms"] = 0;
@@ -122,9 +122,9 @@
 HttpResponse LedgerService::control(const HttpRequest &request)
 {
     const auto body = parseObject(request.body);
-    m_cutNext = numberField(body, "cut_next_answers", m_cutNext);
-    m_dropNext = numberField(body, "drop_next_calls", m_dropNext);
-    m_strangerNext = numberField(body, "stranger_answers", m_strangerNext);
+    m_answersToCut = numberField(body, "cut_next_answers", m_answersToCut);
+    m_callsToDrop = numberField(body, "drop_next_calls", m_callsToDrop);
+    m_strangerAnswers = numberField(body, "stranger_answers", m_strangerAnswers);
     m_options.work = millisecondsField(body, "work_ms", m_options.work);
     return noContent();
 }
@@ -133,10 +133,10 @@
 {
     const auto body = parseObject(request.body);
     const auto notice = millisecondsField(body, "notice_ms", std::chrono::milliseconds(0));
-    if (m_noticed)
+    if (m_noticedAt)
         return noContent();
-    m_noticed = std::chrono::steady_clock::now();
-    m_noticeEnd = *m_noticed + notice;
+    m_noticedAt = std::chrono::steady_clock::now();
+    m_noticeEndsAt = *m_noticedAt + notice;
     boost::asio::co_spawn(m_io, leaveAfter(notice), boost::asio::detached);
     return noContent();
 }
@@ -144,8 +144,8 @@
 Task<void> LedgerService::leaveAfter(std::chrono::milliseconds notice)
 {
     co_await wire::sleepFor(notice);
-    if (m_onTaken)
-        m_onTaken();
+    if (m_onReclaimed)
+        m_onReclaimed();
 }
 
 } // namespace snipestall::standins
--- a/standins/service/ledger_service.hpp
+++ b/standins/service/ledger_service.hpp
@@ -29,15 +29,15 @@
     std::string runsFile;
 };
 
-/// A plain service over HTTP that keeps a ledger; see docs/design/standin-protocols.md.
+/// A plain HTTP service that records which calls took effect; see docs/design/standin-protocols.md.
 class LedgerService
 {
 public:
     LedgerService(boost::asio::io_context &io, ServiceOptions options);
 
     wire::Task<void> serve(wire::HttpExchange &exchange);
-    /// Called when a reclaim's notice has passed.
-    void onTaken(std::function<void()> callback) { m_onTaken = std::move(callback); }
+    /// Sets the callback that runs when the notice of a reclaim has expired.
+    void onReclaimed(std::function<void()> callback) { m_onReclaimed = std::move(callback); }
     [[nodiscard]] const ServiceOptions &options() const { return m_options; }
 
 private:
@@ -55,14 +55,15 @@
     ServiceOptions m_options;
     RunLog m_runs;
     std::size_t m_running = 0;
-    std::int64_t m_cutNext = 0;
-    /// Cut before the call takes effect.
-    std::int64_t m_dropNext = 0;
-    /// Answered as another attempt's, with another receipt.
-    std::int64_t m_strangerNext = 0;
-    std::optional<SteadyTime> m_noticed;
-    SteadyTime m_noticeEnd {};
-    std::function<void()> m_onTaken;
+    /// Number of next calls that take effect but whose connection is cut before the answer.
+    std::int64_t m_answersToCut = 0;
+    /// Number of next calls whose connection is cut before the call takes effect.
+    std::int64_t m_callsToDrop = 0;
+    /// Number of next calls that are answered with the id and receipt of another attempt.
+    std::int64_t m_strangerAnswers = 0;
+    std::optional<SteadyTime> m_noticedAt;
+    SteadyTime m_noticeEndsAt {};
+    std::function<void()> m_onReclaimed;
 };
 
 } // namespace snipestall::standins
--- a/standins/service/run_log.hpp
+++ b/standins/service/run_log.hpp
@@ -11,24 +11,25 @@
 
 namespace snipestall::standins {
 
-/// One call that took effect.
+/// One execution of a call, that is, a call that took effect.
 struct Run
 {
     std::string key;
     std::string request;
     std::string attempt;
-    /// Time between the service's reclaim notice and the call.
+    /// Milliseconds from the service's reclaim notice to the call; empty before a notice.
     std::optional<std::int64_t> afterNoticeMs;
 };
 
-/// How often each key, or request without a key, took effect: the judge of "at most once".
+/// Counts how often each idempotency key, or request without a key, took effect. Tests use the
+/// counts to check at-most-once execution.
 class RunLog
 {
 public:
-    /// Without a file the records die with the process.
+    /// If `file` is empty, the records are kept in memory only and are lost when the process ends.
     explicit RunLog(const std::string &file);
 
-    /// Counts the run and tells how often it has taken effect by now.
+    /// Records the run and returns how often its key or request has taken effect so far.
     std::int64_t add(const Run &run);
     [[nodiscard]] boost::json::array toJson() const;
 
