--- a/tests/build/check_packages_test.py
+++ b/tests/build/check_packages_test.py
@@ -1,4 +1,4 @@
-"""The comparison of what the build uses with the listed packages, on small made-up machines."""
+"""Tests the comparison of the files that a build uses with the listed packages, on made-up machines."""
 import pathlib
 import sys
 import unittest
@@ -29,7 +29,7 @@
         self.assertEqual(missing(inventory, ["g++", "protobuf-compiler"], installed), {"libprotobuf-dev"})
 
     def test_dependencies_and_essential_packages_come_along(self):
-        """Guards against a check that names what every machine has."""
+        """Guards against reporting essential packages and dependencies of listed packages as missing."""
         installed = machine(*COMPILER, "dash\tyes\t\t", "cmake\tno\t\tcmake-data:all [amd64]",
                             "cmake-data\tno\t\t")
         inventory = [("program", "/bin/sh", "dash"), ("cmake", "/usr/share/cmake/a.cmake", "cmake-data"),
@@ -37,13 +37,13 @@
         self.assertEqual(missing(inventory, ["g++", "cmake"], installed), set())
 
     def test_a_second_alternative_does_not_come_along(self):
-        """Guards against a verdict that depends on what else this machine has installed."""
+        """Guards against a result that depends on which other packages this machine has installed."""
         installed = machine(*COMPILER, "a-dev\tno\t\tfirst | second", "first\tno\t\t", "second\tno\t\t")
         inventory = [("header", "/usr/include/second.h", "second")]
         self.assertEqual(missing(inventory, ["g++", "a-dev"], installed), {"second"})
 
     def test_a_virtual_package_stands_for_the_one_that_provides_it(self):
-        """Guards against a dependency by a provided name that is taken for none."""
+        """Guards against ignoring a dependency on a virtual package that another package provides."""
         installed = machine(*COMPILER, "a-dev\tno\t\tmta", "postfix\tno\tmta (= 1), other\t")
         inventory = [("program", "/usr/sbin/sendmail", "postfix")]
         self.assertEqual(missing(inventory, ["g++", "a-dev"], installed), set())
@@ -59,7 +59,7 @@
                          set())
 
     def test_a_file_of_no_package_fails(self):
-        """Guards against a library that somebody built on the machine by hand."""
+        """Guards against a library that was built by hand on the machine and is in no package."""
         inventory = [("library", "/usr/local/lib/libfoo.so", "-")]
         self.assertEqual(missing(inventory, ["g++"], machine(*COMPILER)), {"-"})
 
--- a/tests/build/dropped_package_test.py
+++ b/tests/build/dropped_package_test.py
@@ -1,6 +1,6 @@
-"""Takes each listed package out of the list: the check has to fail and to name that package.
+"""Removes each listed package from the list: the check has to fail and to name that package.
 
-Reads the inventory of a real build, whose path is in BUILD_INVENTORY.
+Reads the inventory of a real build, whose path is in the environment variable BUILD_INVENTORY.
 """
 import os
 import pathlib
@@ -17,7 +17,7 @@
 class DroppedPackageTest(unittest.TestCase):
 
     def test_each_listed_package_is_missed(self):
-        """Guards against a check that passes whatever the list says."""
+        """Guards against a check that passes regardless of the list."""
         listed = tomllib.loads((ROOT / "deploy/system.toml").read_text())["packages"]
         installed = check_packages.installed_packages()
         for package in listed:
--- a/tests/gateway/caller_leaves_test.cpp
+++ b/tests/gateway/caller_leaves_test.cpp
@@ -30,13 +30,15 @@
     [[nodiscard]] std::size_t runs() const { return m_first.ran().size() + m_second.ran().size(); }
 };
 
-// Guards against work for a caller that has left before its request was read.
+// Guards against running a request whose caller closed its connection before the gateway had read
+// the request.
 TEST_F(CallerLeavesTest, ARequestWhoseCallerHasLeftIsNotSent)
 {
     publish();
     run([this]() -> Task<void> {
         co_await untilServing();
-        // A kept connection to each server: a request is sent as soon as it has been read.
+        // Opens a kept-alive connection to each server, so that a request is sent as soon as it has
+        // been read.
         while (m_first.ran().empty() || m_second.ran().empty())
             co_await fetch(m_callers, "/safe/x");
         const std::size_t before = runs();
@@ -49,7 +51,8 @@
     });
 }
 
-// Guards against work for a caller that leaves after it has sent its next request early.
+// Guards against running on for a caller that has left: the caller had already sent its next
+// request on the same connection, and the gateway did not see the connection close behind it.
 TEST_F(CallerLeavesTest, ACallerIsSeenToLeaveBehindItsNextRequest)
 {
     publish();
--- a/tests/gateway/crashing_request_test.cpp
+++ b/tests/gateway/crashing_request_test.cpp
@@ -1,4 +1,4 @@
-// A request that ends every server that begins to run it, over the whole path on loopback.
+// Tests of a request that crashes every server that runs it, over the whole path on loopback.
 
 #include "gateway_fixture.hpp"
 
@@ -14,8 +14,8 @@
 using wire::Task;
 
 constexpr std::size_t Servers = 8;
-/// A request that was in flight at so many servers when they ended is not run again.
-constexpr int MostEnded = 3;
+/// A request that was in flight at this many servers when they crashed is not run again.
+constexpr int MaxCrashedServers = 3;
 
 class CrashingRequestTest : public GatewayPathTest
 {
@@ -44,9 +44,9 @@
     std::vector<std::unique_ptr<TestBackend>> m_servers;
 };
 
-// Callers of a ledger lose one server after the other: one of them repeats a call that ends each
-// server that runs it, a second apart, and nobody else calls. A broken connection counted only once
-// another request was refused by the same server, and none was sent there.
+// Guards against a request that crashes one server after the other: one caller repeats it a second
+// apart, and there is no other traffic. A broken connection was counted as a crash only once the
+// same server had refused another request, and no other request was sent there.
 TEST_F(CrashingRequestTest, RepeatedByItsCallerItEndsThreeServersWithoutOtherTraffic)
 {
     behave(Behaviour::End);
@@ -56,12 +56,13 @@
             co_await fetch(m_callers, "/once/x", "POST");
             co_await wire::sleepFor(std::chrono::milliseconds(100));
         }
-        EXPECT_LE(ended(), MostEnded);
+        EXPECT_LE(ended(), MaxCrashedServers);
     });
 }
 
-// The same with a call that may be repeated: each copy is run by two servers. It is looked at when
-// it comes, and again before its second run.
+// Guards against the same with an idempotent request, each submission of which is run by two
+// servers. The count of crashes is checked when the request arrives, and again before its second
+// run.
 TEST_F(CrashingRequestTest, ItsOwnRepeatsCountBeforeTheNextOneIsSent)
 {
     behave(Behaviour::End);
@@ -69,11 +70,12 @@
         co_await untilServing(m_metrics, Servers);
         for (int i = 0; i < 4; ++i)
             co_await fetch(m_callers, "/safe/x", "POST");
-        EXPECT_LE(ended(), MostEnded);
+        EXPECT_LE(ended(), MaxCrashedServers);
     });
 }
 
-// A prompt that ends its server after some tokens: the caller has begun to read its answer.
+// Guards against a crash that is not counted because the caller has begun to read the answer: the
+// prompt crashes its server after some tokens.
 TEST_F(CrashingRequestTest, AServerThatEndsInMidStreamCounts)
 {
     behave(Behaviour::EndAfterEvents);
@@ -81,13 +83,13 @@
         co_await untilServing(m_metrics, Servers);
         for (int i = 0; i < 6; ++i)
             co_await fetch(m_callers, "/solo/x", "POST");
-        EXPECT_LE(ended(), MostEnded);
+        EXPECT_LE(ended(), MaxCrashedServers);
     });
 }
 
-// One caller sends the same call at every instance at the same moment, and each instance gives it
-// to a server of its own choice: as many servers end as there are instances, before any of them can
-// have told the others.
+// Guards against as many crashed servers as there are instances: one caller sends the same request
+// to every instance at the same moment, and each instance sends it to a server of its own choice
+// before any instance can have reported the crash to the others.
 TEST_F(CrashingRequestTest, CopiesAtSeveralInstancesAtOnceEndThreeServers)
 {
     constexpr std::size_t Others = 5;
@@ -109,7 +111,7 @@
             boost::asio::co_spawn(m_io, sendCopy(instance.callers), boost::asio::detached);
         while (answers < Others)
             co_await wire::sleepFor(std::chrono::milliseconds(5));
-        EXPECT_LE(ended(), MostEnded);
+        EXPECT_LE(ended(), MaxCrashedServers);
     });
 }
 
--- a/tests/gateway/gateway_fixture.hpp
+++ b/tests/gateway/gateway_fixture.hpp
@@ -32,13 +32,13 @@
  "services":[{"name":"ledger","engine":{"slotCount":4,"kvCapacity":100000,"moves":true}}],
  "tenants":[{"name":"harbour","apiKeys":["secret"]}]})";
 
-/// The gateway's whole path on loopback: a caller, the gateway, a stand-in of the store, and two
-/// plain HTTP servers as backend servers. Everything runs on one loop; nothing depends on how long
-/// it takes.
+/// Tests the whole path of the gateway on loopback: a caller, the gateway, a stand-in of the store,
+/// and two plain HTTP servers as backend servers. Everything runs on one loop, and no result
+/// depends on how long it takes.
 class GatewayPathTest : public testing::Test
 {
 protected:
-    /// One gateway with the addresses at which it listens.
+    /// A gateway and the addresses at which it listens.
     struct Instance
     {
         wire::Endpoint callers;
@@ -73,10 +73,10 @@
 
     Instance startInstance(GatewaySettings settings)
     {
-        // Another process may take a port between its choice and its use.
-        constexpr int MostTries = 20;
+        // Retries because another process may take a port between its choice and its use.
+        constexpr int MaxTries = 20;
         Instance instance;
-        for (int i = 0; i < MostTries && !instance.gateway; ++i) {
+        for (int i = 0; i < MaxTries && !instance.gateway; ++i) {
             settings.callers = { "127.0.0.1", freePort() };
             settings.readiness = { "127.0.0.1", freePort() };
             settings.peerPort = freePort();
@@ -110,7 +110,7 @@
                 m_io.stop();
             },
             boost::asio::detached);
-        // A gateway that shuts down ends the loop, too.
+        // Restarts the loop because a gateway that shuts down ends the loop, too.
         const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(60);
         while (!ended && std::chrono::steady_clock::now() < until) {
             m_io.run_until(until);
@@ -138,7 +138,7 @@
     /// Waits until the gateway knows both servers.
     wire::Task<void> untilServing() { co_await untilServing(m_metrics, 2); }
 
-    /// Waits until the gateway with these metrics knows so many servers.
+    /// Waits until the gateway with this metrics address knows `servers` servers.
     wire::Task<void> untilServing(wire::Endpoint metrics, std::size_t servers)
     {
         co_await untilMetric(std::move(metrics), "snipestall_gateway_servers", servers);
--- a/tests/gateway/gateway_path_test.cpp
+++ b/tests/gateway/gateway_path_test.cpp
@@ -8,8 +8,8 @@
 using wire::HttpResponse;
 using wire::Task;
 
-// An operator sees callers refused with 404 while an instance starts: it took knowing no
-// configuration for a configuration without routes.
+// Guards against refusing callers with 404 while an instance starts: an instance that had not yet
+// read its configuration acted as if the configuration had no routes.
 TEST_F(GatewayPathTest, WithoutAConfigurationItIsNotReadyAndSaysNotRun)
 {
     run([this]() -> Task<void> {
@@ -29,9 +29,9 @@
     { }
 };
 
-// All instances lose power and start again together. Callers reach them some milliseconds before
-// they have read the store, are refused, and come back half a second later, too late for their
-// target.
+// Guards against refusing callers during a start: all instances lose power and start again
+// together. Callers reach them some milliseconds before they have read the store, are refused, and
+// retry half a second later, too late for their target.
 TEST_F(GatewayStartTest, ACallerThatComesRightAfterTheStartIsKeptUntilTheStoreIsRead)
 {
     publish();
@@ -76,7 +76,7 @@
     });
 }
 
-// A family pays twice for the same minutes: the answer to a top-up is lost on the way, and the
+// Guards against charging an account twice: the answer to a top-up is lost on the way, and the
 // top-up is sent to another server.
 TEST_F(GatewayPathTest, ARequestThatMayRunOnceIsNotSentAgainWhenItsAnswerIsLost)
 {
@@ -105,9 +105,9 @@
     });
 }
 
-// Callers are refused in numbers after a reclaim: the servers have ended and others have their
-// addresses, the list does not say so yet, and request after request is sent there and uses up the
-// repeats that the service may get.
+// Guards against refusing many callers after a reclaim: the servers have ended and other servers
+// have their addresses, but the list does not show it yet. Request after request is sent there and
+// uses up the retries that the service may get.
 TEST_F(GatewayPathTest, AServerWhoseAddressAnotherOneHasGetsNoSecondRequest)
 {
     publish();
@@ -122,8 +122,9 @@
     });
 }
 
-// A caller is told that its top-up was not run, tops up again, and pays twice: every server that
-// was asked had refused but one, whose answer was lost.
+// Guards against charging an account twice: a caller gets the answer that its top-up was not run,
+// and tops up again. Every server that was tried had refused the request but one, whose answer was
+// lost.
 TEST_F(GatewayPathTest, NotRunIsSaidOnlyWhenNoServerMayHaveRunIt)
 {
     publish();
@@ -140,8 +141,9 @@
     });
 }
 
-// A skipper's answer breaks off in the middle: its server is taken back on seconds of notice, and
-// the stream may not be run again. Its run moves to another server with its memory instead.
+// Guards against an answer that breaks off in the middle: its server is reclaimed on seconds of
+// notice, and the stream may not be run again. Its run moves to another server together with its KV
+// cache instead.
 TEST_F(GatewayPathTest, ARunningStreamMovesAwayBeforeItsServerIsTakenBack)
 {
     publish();
--- a/tests/gateway/listing_test.cpp
+++ b/tests/gateway/listing_test.cpp
@@ -1,4 +1,5 @@
-// What the list of backend servers may hold, over the gateway's whole path on loopback.
+// Tests of what the list of backend servers may hold, over the whole path of the gateway on
+// loopback.
 
 #include "gateway_fixture.hpp"
 
@@ -19,7 +20,7 @@
 class ListingTest : public GatewayPathTest
 {
 protected:
-    /// Waits until the gateway's page of metrics has this line.
+    /// Waits until the metrics page of the gateway contains `line`.
     Task<void> untilMetric(std::string line)
     {
         while (true) {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Entries of other services, most of them damaged, some under odd keys.
+    /// Stores entries of other services, most of them damaged, some under malformed keys.
     void putJunk()
     {
         Random random(Seed);
@@ -51,14 +52,14 @@
     }
 };
 
-// The store is called tens of times for one wave of reclaimed servers, by each instance that reads:
-// every notice ends the poll that waits, and the next poll is ended by the next notice.
+// Guards against tens of calls to the store for one wave of reclaimed servers, by each instance
+// that reads: every notice ends the pending poll, and the next notice ends the next poll.
 TEST_F(ListingTest, ChangesThatComeInARowAreReadTogether)
 {
     publish();
     run([this]() -> Task<void> {
         co_await untilServing();
-        // Until it is known to be the only instance, it does not read for others.
+        // An instance does not read on behalf of others until it is known to be the only instance.
         while (m_store.polls() < 2)
             co_await wire::sleepFor(5ms);
         const std::size_t before = m_store.polls();
@@ -68,13 +69,15 @@
             co_await wire::sleepFor(2ms);
         }
         const auto passed = std::chrono::steady_clock::now() - begun;
-        // Two tables, each polled once in 200 ms at most, and the polls that were waiting.
+        // Each of the two tables is polled at most once in 200 ms, besides the polls that were
+        // pending.
         EXPECT_LE(m_store.polls() - before, 2 * (passed / 200ms + 2));
     });
 }
 
-// Every request is refused although servers stand ready: another program wrote into the table of
-// the servers, and one entry that could not be decoded spoiled the page that held the others.
+// Guards against refusing every request although servers are ready: another program wrote into the
+// table of the servers, and one entry that could not be decoded invalidated the page that held the
+// others.
 TEST_F(ListingTest, EntriesFromAnotherWriterSpoilNothing)
 {
     putJunk();
@@ -94,8 +97,8 @@
     });
 }
 
-// A server that left goes on getting requests: another program has overwritten its entry, and
-// nobody removes what that program wrote.
+// Guards against sending requests to a server that has left: another program has overwritten its
+// entry, and nothing removes what that program wrote.
 TEST_F(ListingTest, AnOverwrittenEntryNamesNoServerUntilItIsRenewed)
 {
     publish();
@@ -108,8 +111,8 @@
     });
 }
 
-// Half of the calls fail for the rest of the day: a server crashed, its entry was removed, and it
-// started again under the same id.
+// Guards against sending no more requests to a server that starts again under the same id after it
+// crashed and its entry was removed. Half of the calls failed for the rest of the day.
 TEST_F(ListingTest, AServerThatStartsAgainUnderItsIdGetsWork)
 {
     publish();
--- a/tests/gateway/resumed_stream_test.cpp
+++ b/tests/gateway/resumed_stream_test.cpp
@@ -1,4 +1,4 @@
-// Answers that come in two runs, over the gateway's whole path on loopback.
+// Tests of answers that are produced by two runs, over the whole path of the gateway on loopback.
 
 #include "gateway_fixture.hpp"
 
@@ -22,8 +22,8 @@
 class ResumedStreamTest : public GatewayPathTest
 {
 protected:
-    /// What the caller gets when the first run breaks off after some events; status 0 if its
-    /// answer does not end as a whole one.
+    /// Returns what the caller gets when the first run breaks off after some events. The status is
+    /// 0 if the answer is incomplete.
     Task<HttpResponse> resumedBy(Behaviour second, std::string target = "/again/x")
     {
         for (TestBackend *backend : { &m_first, &m_second }) {
@@ -47,9 +47,9 @@
     });
 }
 
-// A broker takes half an opinion for a whole one: the server that streams it crashes, the run goes
-// on elsewhere and fails there, and the end of the failure's body is passed on as the end of the
-// stream. The same with anything else that is not the rest of the stream.
+// Guards against an incomplete answer that looks complete: the server that streams it crashes, the
+// run goes on elsewhere and fails there, and the end of the body of the failure is passed on as the
+// end of the stream. The same holds for any other response that is not the rest of the stream.
 TEST_F(ResumedStreamTest, AnythingButTheRestOfTheStreamBreaksTheAnswerOff)
 {
     publish();
@@ -63,7 +63,8 @@
     });
 }
 
-// The first run broke off after its last event: a second one has nothing to add, and says so.
+// The first run broke off after its last event, so the second run has nothing to add and ends its
+// stream without an event.
 TEST_F(ResumedStreamTest, ASecondRunWithoutEventsEndsAStreamOfItsOwnKind)
 {
     publish();
@@ -75,7 +76,7 @@
     });
 }
 
-// A stream that may not be run again breaks off with its server, and nothing is put in its place.
+// A stream that may not be run again breaks off with its server, and no other run replaces it.
 TEST_F(ResumedStreamTest, AStreamThatMayRunOnceBreaksOffWithItsRun)
 {
     publish();
@@ -87,8 +88,8 @@
     });
 }
 
-// A caller gets a body of two halves: the first run's, too large to be held back, breaks off, and
-// the whole body of a second run is appended to it.
+// Guards against a body made of two runs: the body of the first run is too large to be held back
+// and breaks off, and the whole body of a second run is appended to it.
 TEST_F(ResumedStreamTest, ABodyThatIsPassedOnAsItComesIsNotContinuedByAnotherRun)
 {
     publish();
--- a/tests/gateway/shutdown_test.cpp
+++ b/tests/gateway/shutdown_test.cpp
@@ -14,7 +14,8 @@
 class ShutdownTest : public GatewayPathTest
 {
 protected:
-    /// An instance that has served a request and holds the lease: leaving takes all its calls.
+    /// Returns an instance that has served a request and holds the lease, so that its shutdown
+    /// needs every call to the store.
     Task<Instance> servingInstance(std::chrono::milliseconds grace)
     {
         GatewaySettings settings = settingsOf("edge-2");
@@ -28,7 +29,8 @@
         co_return instance;
     }
 
-    /// Requests of the one customer in the instance's stored rows of all windows.
+    /// Sums the request counts of the only customer in the stored rows of the instance over all
+    /// windows.
     [[nodiscard]] std::uint64_t storedCount() const
     {
         std::uint64_t sum = 0;
@@ -41,7 +43,7 @@
     }
 };
 
-// Guards against work that is taken late in a shutdown because the store does not answer.
+// Guards against accepting requests for too long in a shutdown because the store does not answer.
 TEST_F(ShutdownTest, ASilentStoreDoesNotProlongTheTimeForWhichWorkIsTaken)
 {
     publish();
@@ -58,7 +60,7 @@
     });
 }
 
-// Guards against requests that begin during a shutdown and are in no usage report.
+// Guards against requests that begin during a shutdown and are missing from every usage report.
 TEST_F(ShutdownTest, RequestsThatBeginWhileWorkIsStillTakenAreCounted)
 {
     publish();
@@ -74,7 +76,7 @@
     });
 }
 
-// Guards against a connection that is closed without an answer when the grace ends.
+// Guards against a connection that is closed without an answer when the grace period ends.
 TEST_F(ShutdownTest, ARequestThatStillRunsWhenTheGraceEndsGetsAnAnswer)
 {
     publish();
--- a/tests/gateway/test_backend.cpp
+++ b/tests/gateway/test_backend.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// More than a gateway holds back of a plain answer.
+/// Exceeds what a gateway holds back of an answer that is not a stream.
 constexpr std::size_t LargeBytes = 700 * 1024;
 
 int resumedAfter(const HttpRequest &request)
@@ -139,7 +139,7 @@
     co_await exchange.beginStream(std::move(response));
     for (int number = after + 1; number <= last; ++number)
         co_await exchange.write(eventText(number));
-    // What was written reaches the gateway before the connection breaks.
+    // Waits so that the events reach the gateway before the connection breaks.
     co_await wire::sleepFor(20ms);
 }
 
--- a/tests/gateway/test_backend.hpp
+++ b/tests/gateway/test_backend.hpp
@@ -15,7 +15,7 @@
 
 namespace snipestall::gateway {
 
-/// A backend server that answers as it is told and remembers what it ran.
+/// A backend server that answers with a selected behaviour and records the requests that it ran.
 class TestBackend
 {
 public:
@@ -26,31 +26,31 @@
         Serve,
         SayNotRun,
         LoseAnswer,
-        /// Works on the request without an end.
+        /// Runs the request without ever answering.
         Hang,
         Fail,
-        /// Says that it is not the server that was meant.
+        /// Answers that it is not the server that the request was addressed to.
         OtherServer,
-        /// Streams without an end until the run is moved away; goes on with a run moved here.
+        /// Streams without end until the run is moved away; continues a run that was moved here.
         Stream,
-        /// Streams `EventsBeforeCrash` events, then breaks off.
+        /// Streams `EventsBeforeCrash` events, then closes the connection.
         CrashAfterEvents,
-        /// Streams the events that follow, up to `AllEvents`, and ends.
+        /// Streams the events after the one that the run resumes from, up to `AllEvents`, and ends.
         StreamRest,
-        /// The same as one body with a length.
+        /// Like `StreamRest`, but sends one body with a length.
         RestWithLength,
-        /// Ends a stream without an event.
+        /// Ends a stream without sending an event.
         NoEvents,
-        /// Streams under another status of success.
+        /// Like `StreamRest`, but with another success status.
         OtherStatus,
-        /// Answers with a plain text.
+        /// Answers with plain text.
         PlainText,
-        /// Sends more than is held back of a plain body, then breaks off.
+        /// Sends more of a plain body than a gateway holds back, then closes the connection.
         LargeBodyThenCrash,
-        /// Ends as a process does that runs a request which crashes it: the connection breaks and
-        /// nobody listens any more.
+        /// Ends like a process that is crashed by the request it runs: the connection breaks and
+        /// the port is no longer open.
         End,
-        /// The same after `EventsBeforeCrash` events.
+        /// Like `End`, but after `EventsBeforeCrash` events.
         EndAfterEvents,
     };
 
@@ -76,7 +76,7 @@
     [[nodiscard]] const std::string &id() const { return m_id; }
     [[nodiscard]] bool ended() const { return m_ended; }
     void behave(Behaviour behaviour) { m_behaviour = behaviour; }
-    /// What it does with a run that goes on after some event.
+    /// Sets the behaviour for requests that resume a stream after an event.
     void behaveWhenResumed(Behaviour behaviour) { m_whenResumed = behaviour; }
     [[nodiscard]] const std::vector<wire::HttpRequest> &ran() const { return m_ran; }
     [[nodiscard]] const std::vector<wire::HttpRequest> &moves() const { return m_moves; }
@@ -87,7 +87,7 @@
     wire::Task<void> run(wire::HttpExchange &exchange, Behaviour behaviour);
     void end(wire::HttpExchange &exchange);
     wire::Task<void> stream(wire::HttpExchange &exchange, wire::HttpResponse response);
-    /// Events after the one at which the run goes on, up to `last`.
+    /// Streams the events after the one that the run resumes from, up to `last`.
     wire::Task<void> streamUpTo(int last, wire::HttpExchange &exchange,
                                 wire::HttpResponse response);
 
--- a/tests/gateway/usage_test.cpp
+++ b/tests/gateway/usage_test.cpp
@@ -1,4 +1,5 @@
-// How the usage of a large fleet gets into the store, over the gateways' whole path on loopback.
+// Tests of how the usage of a large fleet is stored, over the whole path of the gateways on
+// loopback.
 
 #include "gateway_fixture.hpp"
 
@@ -11,7 +12,8 @@
 using namespace std::chrono_literals;
 using wire::Task;
 
-/// Beyond twelve instances the first twelve by name are hubs and the others their members.
+/// In a fleet of more than twelve instances the first twelve by name are hubs and the others are
+/// their members.
 constexpr int Others = 14;
 constexpr auto Member = "edge-23";
 
@@ -27,7 +29,7 @@
         }
     }
 
-    /// Rows of counts whose key begins so.
+    /// Counts the rows of usage counts whose key begins with `keyPrefix`.
     [[nodiscard]] std::size_t rowsOf(const std::string &keyPrefix) const
     {
         const auto rows = m_store.rowsOf("usage-counts");
@@ -37,7 +39,7 @@
             }));
     }
 
-    /// Whether a hub has stored counts of this instance.
+    /// Returns whether a hub has stored usage counts of this instance.
     [[nodiscard]] bool storedByHub(const std::string &instance) const
     {
         const auto rows = m_store.rowsOf("usage-counts");
@@ -47,7 +49,7 @@
         });
     }
 
-    Task<void> askUntil(std::function<bool()> done)
+    Task<void> sendUntil(std::function<bool()> done)
     {
         while (!done()) {
             co_await fetch(m_others.back().callers, "/safe/x", "POST");
@@ -58,22 +60,22 @@
     std::vector<Instance> m_others;
 };
 
-// The store is written to hundreds of times for each window of a large fleet, once by each
-// instance: what a member has told its hub, the hub stores with that of the others, and the member
-// does not.
+// Guards against hundreds of writes to the store for each window of a large fleet, one by each
+// instance: a hub stores what its members reported together with the counts of the others, and the
+// members do not store it themselves.
 TEST_F(UsageTest, AHubStoresWhatItsMembersCounted)
 {
     publish();
     run([this]() -> Task<void> {
         co_await untilServing();
         co_await untilServing(m_others.back().metrics, 2);
-        co_await askUntil([this] { return storedByHub(Member); });
+        co_await sendUntil([this] { return storedByHub(Member); });
         const std::size_t ownRows = rowsOf(std::string(Member) + "/");
-        // Windows that ended before it had heard its hub are its own to store.
+        // A member stores the windows that ended before it had received an answer from its hub.
         EXPECT_LE(ownRows, 2U);
-        // Three windows on, it has still stored none.
+        // Three windows later, the member has still stored no further window.
         const auto begun = std::chrono::steady_clock::now();
-        co_await askUntil([&] { return std::chrono::steady_clock::now() - begun > 3s; });
+        co_await sendUntil([&] { return std::chrono::steady_clock::now() - begun > 3s; });
         EXPECT_LE(rowsOf(std::string(Member) + "/"), ownRows);
     });
 }
--- a/tests/policy/harness/call.cpp
+++ b/tests/policy/harness/call.cpp
@@ -2,8 +2,8 @@
 
 namespace snipestall::policy::harness {
 
-/// Patient work is in target when the whole answer is there by its deadline; all other work must
-/// also meet the time to its first token and the mean time between tokens.
+/// A patient call is in target when it has its whole answer by its deadline. Every other call must
+/// also meet the targets for the time to its first token and for the mean time between tokens.
 bool Call::inTarget() const
 {
     if (outcome != Outcome::Answered || finished > deadline) {
--- a/tests/policy/harness/call.hpp
+++ b/tests/policy/harness/call.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "policy/harness/ask.hpp"
+#include "policy/harness/request_spec.hpp"
 
 #include "snipestall/policy/command.hpp"
 
@@ -15,16 +15,16 @@
     Open,
     Answered,
     Refused,
-    /// Given up by the system after its deadline.
+    /// The system gave it up after its deadline.
     Expired,
-    /// Ended without an answer after it had run.
+    /// It ended without an answer after it had run.
     Failed,
-    /// Given up by its caller.
+    /// Its caller gave it up.
     Cancelled,
 };
 
-/// One submission by a caller, and what came of it: a row of the ledger.
-struct Call : Ask
+/// One submission of a request by a caller, with its outcome: a row of the ledger.
+struct Call : RequestSpec
 {
     Time arrived {};
     Time deadline {};
@@ -37,13 +37,15 @@
     std::uint32_t produced = 0;
     std::uint32_t attempts = 0;
     std::uint32_t crashes = 0;
-    /// An attempt may have run; for a call that is not idempotent no other may follow.
+    /// Whether an attempt may have run. A call that is not idempotent must not get another attempt
+    /// then.
     bool mayHaveRun = false;
-    /// Some attempt has read the whole prompt.
+    /// Whether some attempt has prefilled the whole prompt.
     bool prefilled = false;
-    /// Prompt or output computed again by a later attempt.
+    /// Number of prompt or output tokens that a later attempt computed again.
     std::uint64_t lostTokens = 0;
-    /// Prompt prefix computed again since the server chosen did not hold it.
+    /// Number of tokens of the prompt prefix that were computed again because the chosen server did
+    /// not hold them.
     std::uint64_t missedTokens = 0;
 
     [[nodiscard]] bool inTarget() const;
--- a/tests/policy/harness/callers.cpp
+++ b/tests/policy/harness/callers.cpp
@@ -14,8 +14,8 @@
 using namespace std::chrono_literals;
 
 constexpr std::uint64_t TemplatesPerKind = 3;
-/// A caller that ignores the time it was told comes back after this.
-constexpr Duration HastyReturn = 100ms;
+/// A caller that does not wait for the retry time of its refusal retries after this delay.
+constexpr Duration ImmediateRetryDelay = 100ms;
 
 double seconds(Duration duration)
 {
@@ -27,7 +27,7 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(value));
 }
 
-/// Block of a prompt that all requests of one template share.
+/// Returns the hash of a prompt block that all requests of one template share.
 std::uint64_t templateBlock(const RequestKind &kind, std::size_t customer, std::uint64_t number,
                             std::uint32_t block)
 {
@@ -62,7 +62,7 @@
         if (epoch != m_epoch) {
             return;
         }
-        submit(makeAsk(pickKind(), m_cluster.deployment().modelService));
+        submit(makeRequest(pickKind(), m_cluster.deployment().modelService));
         scheduleModel(epoch);
     });
 }
@@ -78,13 +78,13 @@
             return;
         }
         const auto &deployment = m_cluster.deployment();
-        submit(makeAsk(deployment.plainKind, deployment.plainService));
+        submit(makeRequest(deployment.plainKind, deployment.plainService));
         schedulePlain(epoch);
     });
 }
 
-/// The whole fleet's rate is that at which decoding slots or prefill, whichever is scarcer, are
-/// just used up with every template cached.
+/// A level of 1 is the rate that just uses up the decoding slots or the prefill rate of the whole
+/// fleet, whichever is scarcer, with every template cached.
 double Callers::modelRate() const
 {
     const auto &deployment = m_cluster.deployment();
@@ -118,32 +118,32 @@
     return m_load.kinds.empty() ? m_cluster.deployment().kinds : m_load.kinds;
 }
 
-Ask Callers::makeAsk(const RequestKind &kind, const std::string &service)
+RequestSpec Callers::makeRequest(const RequestKind &kind, const std::string &service)
 {
     const auto &deployment = m_cluster.deployment();
     const auto customer = pickCustomer();
     const auto *leaf = deployment.settings.leaf(deployment.customers[customer].name, service);
-    Ask ask;
-    ask.kind = kind.name;
-    ask.customer = deployment.customers[customer].name;
-    ask.service = service;
-    ask.plain = service == deployment.plainService;
-    ask.fingerprint = Random(++m_lastAsk).next();
-    ask.urgency = kind.urgency;
-    ask.promptTokens = kind.promptTokens;
-    ask.outputTokens = kind.outputTokens;
-    ask.idempotent = kind.idempotent;
-    ask.timeAllowed = kind.deadline;
-    ask.firstTokenTarget = leaf->firstTokenTarget;
-    ask.interTokenTarget = leaf->interTokenTarget;
-    ask.triesLeft = m_load.tries - 1;
-    ask.ignoresRetryAfter = m_random.uniform() < m_load.ignoreRetryAfter;
-    ask.patience = m_load.patience;
-    addPrefix(ask, kind, customer);
-    return ask;
-}
-
-void Callers::addPrefix(Ask &ask, const RequestKind &kind, std::size_t customer)
+    RequestSpec spec;
+    spec.kind = kind.name;
+    spec.customer = deployment.customers[customer].name;
+    spec.service = service;
+    spec.plain = service == deployment.plainService;
+    spec.fingerprint = Random(++m_lastRequest).next();
+    spec.urgency = kind.urgency;
+    spec.promptTokens = kind.promptTokens;
+    spec.outputTokens = kind.outputTokens;
+    spec.idempotent = kind.idempotent;
+    spec.timeAllowed = kind.deadline;
+    spec.firstTokenTarget = leaf->firstTokenTarget;
+    spec.interTokenTarget = leaf->interTokenTarget;
+    spec.triesLeft = m_load.tries - 1;
+    spec.ignoresRetryAfter = m_random.uniform() < m_load.ignoreRetryAfter;
+    spec.patience = m_load.patience;
+    addPrefix(spec, kind, customer);
+    return spec;
+}
+
+void Callers::addPrefix(RequestSpec &spec, const RequestKind &kind, std::size_t customer)
 {
     const bool hot = m_random.uniform() < m_load.hotPrefix;
     const auto owner = hot ? 0 : customer;
@@ -151,8 +151,8 @@
     const auto shared = kind.templateTokens / BlockTokens;
     const auto blocks = kind.promptTokens / BlockTokens;
     for (std::uint32_t block = 0; block < blocks; ++block) {
-        ask.prefix.push_back(block < shared ? templateBlock(kind, owner, number, block)
-                                            : m_random.next());
+        spec.prefix.push_back(block < shared ? templateBlock(kind, owner, number, block)
+                                             : m_random.next());
     }
 }
 
@@ -195,13 +195,13 @@
     return kinds().back();
 }
 
-void Callers::submit(Ask ask)
+void Callers::submit(RequestSpec spec)
 {
     auto &calls = m_cluster.ledger().calls;
     const CallIndex index = calls.size();
-    const auto patience = ask.patience;
+    const auto patience = spec.patience;
     Call call;
-    static_cast<Ask &>(call) = std::move(ask);
+    static_cast<RequestSpec &>(call) = std::move(spec);
     call.arrived = m_cluster.loop().now();
     call.deadline = call.arrived + call.timeAllowed;
     calls.push_back(std::move(call));
@@ -227,24 +227,25 @@
         return;
     }
     const bool waits = call.outcome == Outcome::Refused && !call.ignoresRetryAfter;
-    m_cluster.loop().after(waits ? call.retryAfter : HastyReturn,
+    m_cluster.loop().after(waits ? call.retryAfter : ImmediateRetryDelay,
                            [this, index] { submitAgain(index); });
 }
 
 void Callers::submitAgain(CallIndex index)
 {
-    Ask again = m_cluster.ledger().calls[index];
+    RequestSpec again = m_cluster.ledger().calls[index];
     --again.triesLeft;
     submit(std::move(again));
 }
 
 void Callers::submitCrasher(std::uint32_t tries)
 {
-    // Of the second kind, since only its prompts have blocks of their own to tell it by.
-    auto ask = makeAsk(kinds().at(1), m_cluster.deployment().modelService);
-    ask.crashesServer = true;
-    ask.triesLeft = tries - 1;
-    submit(std::move(ask));
+    // Uses the second kind because only its prompts have blocks of their own, by which the request
+    // can be recognised.
+    auto spec = makeRequest(kinds().at(1), m_cluster.deployment().modelService);
+    spec.crashesServer = true;
+    spec.triesLeft = tries - 1;
+    submit(std::move(spec));
 }
 
 } // namespace snipestall::policy::harness
--- a/tests/policy/harness/callers.hpp
+++ b/tests/policy/harness/callers.hpp
@@ -12,16 +12,17 @@
 
 class Cluster;
 
-/// Open-loop callers: they ask at the rate of the load in force, whatever the system answers, and
-/// come back when refused as the load says.
+/// Open-loop callers: they submit requests at the rate of the current load regardless of the
+/// answers, and retry refused requests as the load specifies.
 class Callers
 {
 public:
     Callers(Cluster &cluster, std::uint64_t seed);
 
-    /// Replaces the load in force; a level of 0 stops it.
+    /// Replaces the current load; a level of 0 stops it.
     void setLoad(const Load &load);
-    /// One request that takes down the server that reads it; its caller sends it `tries` times.
+    /// Submits a request that crashes the server that prefills it. Its caller submits it `tries`
+    /// times in all.
     void submitCrasher(std::uint32_t tries);
 
 private:
@@ -31,11 +32,11 @@
     [[nodiscard]] double plainRate() const;
     [[nodiscard]] const std::vector<RequestKind> &kinds() const;
 
-    Ask makeAsk(const RequestKind &kind, const std::string &service);
-    void addPrefix(Ask &ask, const RequestKind &kind, std::size_t customer);
+    RequestSpec makeRequest(const RequestKind &kind, const std::string &service);
+    void addPrefix(RequestSpec &spec, const RequestKind &kind, std::size_t customer);
     std::size_t pickCustomer();
     const RequestKind &pickKind();
-    void submit(Ask ask);
+    void submit(RequestSpec spec);
     void onEnded(CallIndex call);
     void submitAgain(CallIndex call);
     void giveUp(CallIndex call);
@@ -44,7 +45,7 @@
     Random m_random;
     Load m_load;
     std::uint64_t m_epoch = 0;
-    std::uint64_t m_lastAsk = 0;
+    std::uint64_t m_lastRequest = 0;
 };
 
 } // namespace snipestall::policy::harness
--- a/tests/policy/harness/cluster.cpp
+++ b/tests/policy/harness/cluster.cpp
@@ -13,7 +13,7 @@
 
 constexpr Duration ReportPeriod = 1s;
 constexpr Duration SummaryPeriod = 1s;
-/// Once every instance knows what it owns.
+/// Delay until every instance knows which servers it owns.
 constexpr Duration FirstSummary = 10ms;
 
 } // namespace
@@ -24,12 +24,12 @@
     , m_random(m_options.seed)
     , m_fleet(m_deployment, m_loop, *this)
 {
-    for (const auto &place : m_deployment.dataCentres) {
+    for (const auto &dataCentre : m_deployment.dataCentres) {
         for (std::uint32_t i = 0; i < m_deployment.entriesPerDataCentre; ++i) {
             const auto index = m_nodes.size();
             m_nodes.push_back(std::make_unique<EntryNode>(
-                index, place + "-entry-" + std::to_string(i), place,
-                m_options.factory(place, m_random.next()), m_loop, *this));
+                index, dataCentre + "-entry-" + std::to_string(i), dataCentre,
+                m_options.factory(dataCentre, m_random.next()), m_loop, *this));
         }
     }
     setSettings(m_deployment.settings);
@@ -81,7 +81,7 @@
 {
     for (auto *server : servers) {
         server->leavingSince = m_loop.now();
-        tell(*server, ServerLeaving { server->handle, notice });
+        deliver(*server, ServerLeaving { server->handle, notice });
         m_loop.after(notice, [this, server] { loseServer(*server); });
     }
 }
@@ -96,10 +96,10 @@
     up.instanceClass = server.group.instanceClass;
     up.slots = model.slots;
     up.models = { server.group.service };
-    tell(server, up);
+    deliver(server, up);
 }
 
-void Cluster::tell(const FleetServer &server, const Event &event)
+void Cluster::deliver(const FleetServer &server, const Event &event)
 {
     std::vector<std::string> names;
     for (const auto &node : m_nodes) {
@@ -121,9 +121,10 @@
         return;
     }
     m_fleet.end(server);
-    // Deferred, so that the ends of its attempts are told first.
+    // Deferred, so that the instances receive the ends of its attempts before the loss of the
+    // server.
     m_loop.after(m_deployment.betweenDelay,
-                 [this, &server] { tell(server, ServerGone { server.handle }); });
+                 [this, &server] { deliver(server, ServerGone { server.handle }); });
     if (m_options.policyBuysCapacity) {
         reportCapacity();
         return;
@@ -144,7 +145,7 @@
                                     m_options.reportLag };
         m_loop.after(m_options.reportLag, [this, report] {
             if (const auto *found = m_fleet.find(report.server); found->isAlive()) {
-                tell(*found, report);
+                deliver(*found, report);
             }
         });
     }
@@ -202,7 +203,7 @@
         const CacheChanged event { server, change.block, change.present };
         m_loop.after(m_options.cacheEventLag, [this, event] {
             if (const auto *found = m_fleet.find(event.server); found->isAlive()) {
-                tell(*found, event);
+                deliver(*found, event);
             }
         });
     }
--- a/tests/policy/harness/cluster.hpp
+++ b/tests/policy/harness/cluster.hpp
@@ -21,8 +21,9 @@
 
 namespace snipestall::policy::harness {
 
-/// The edges of all instances in one process under virtual time: carries events to the decision
-/// makers and their commands to the fake backend servers. Delivers no more than the contract says.
+/// Simulates the edges of all instances in one process under virtual time: delivers events to the
+/// decision makers and executes their commands on the fake backend servers. Delivers no more than
+/// the contract of the decision makers guarantees.
 class Cluster final : public CommandSink, public ServerListener
 {
 public:
@@ -30,7 +31,7 @@
 
     Cluster(Deployment deployment, ClusterOptions options);
 
-    /// Hands a call of the ledger to an instance.
+    /// Submits a call of the ledger to an instance chosen at random.
     void submit(CallIndex call);
     void cancel(CallIndex call);
     void setCallEnded(CallEnded callEnded) { m_callEnded = std::move(callEnded); }
@@ -82,7 +83,7 @@
                   Duration retryAfter);
 
     void announce(FleetServer &server);
-    void tell(const FleetServer &server, const Event &event);
+    void deliver(const FleetServer &server, const Event &event);
     void loseServer(FleetServer &server);
     void reportLoad();
     void reportCapacity();
@@ -106,7 +107,8 @@
     std::unordered_map<std::uint64_t, RunningWork> m_works;
     std::unordered_map<CallIndex, std::pair<std::size_t, RequestHandle>> m_homes;
     std::unordered_set<std::uint64_t> m_computedBlocks;
-    /// What the edges of all instances tell each other of requests in flight when a server died.
+    /// Per request fingerprint: how many servers crashed while the request was in flight, as the
+    /// edges of all instances report to each other.
     std::unordered_map<std::uint64_t, std::uint32_t> m_crashesOf;
     std::uint64_t m_lastWork = 0;
     DemandMeter m_demand;
--- a/tests/policy/harness/cluster_answers.cpp
+++ b/tests/policy/harness/cluster_answers.cpp
@@ -57,7 +57,7 @@
 void Cluster::finishAttempt(const RunningWork &work, AttemptResult result)
 {
     auto &call = m_ledger.calls[work.call];
-    // The end of a server under notice blames no request.
+    // The loss of a server under notice is not counted as a crash against its requests.
     const bool isAnnounced = m_fleet.find(work.server)->leavingSince.has_value();
     if (result == AttemptResult::ServerDied && !isAnnounced) {
         ++call.crashes;
--- a/tests/policy/harness/cluster_capacity.cpp
+++ b/tests/policy/harness/cluster_capacity.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 constexpr Duration ReportPeriod = 5s;
-/// Between an order to the cloud and its refusal.
+/// Delay between an order to the cloud and its refusal.
 constexpr Duration CloudAnswer = 200ms;
 constexpr Duration ReleaseNotice = 60s;
 constexpr Duration ReleaseCheck = 500ms;
@@ -63,7 +63,7 @@
     }
 }
 
-/// A released instance ends as soon as it is idle.
+/// Ends a released instance as soon as it is idle.
 void Cluster::release(FleetServer &server)
 {
     m_loop.after(ReleaseCheck, [this, &server] {
@@ -93,8 +93,8 @@
 
 void Cluster::reportCapacity()
 {
-    for (const auto &place : m_deployment.dataCentres) {
-        steward(place).post(capacityOf(place));
+    for (const auto &dataCentre : m_deployment.dataCentres) {
+        steward(dataCentre).post(capacityOf(dataCentre));
     }
 }
 
--- a/tests/policy/harness/cluster_commands.cpp
+++ b/tests/policy/harness/cluster_commands.cpp
@@ -168,7 +168,7 @@
         if (!node.attempts.contains(dispatch.attempt)) {
             return;
         }
-        // An export cut off by the reclaim leaves nothing to import.
+        // A source that was reclaimed before its export ended leaves nothing to import.
         if (!source->isAlive()) {
             receiveEnd(node.index(), dispatch.attempt, AttemptResult::Cut, {});
             return;
--- a/tests/policy/harness/cluster_options.hpp
+++ b/tests/policy/harness/cluster_options.hpp
@@ -9,11 +9,11 @@
 
 namespace snipestall::policy::harness {
 
-/// Which instances hear of a backend server.
+/// Which instances receive the events of a backend server.
 enum class Visibility {
-    /// Its owner alone, as the product runs.
+    /// Only its owner, as in the product.
     Owner,
-    /// Every instance, as a balancer without owners runs.
+    /// Every instance, as for a balancer without owners.
     Everyone,
 };
 
@@ -28,8 +28,8 @@
     Duration reportLag = std::chrono::milliseconds(500);
     Duration cacheEventLag = std::chrono::milliseconds(500);
     double cacheEventLoss = 0.1;
-    /// The policy starts and releases instances; otherwise a group of fixed size replaces what
-    /// ends.
+    /// If true, the policy starts and releases instances; otherwise each instance that ends is
+    /// replaced, so that groups keep their size.
     bool policyBuysCapacity = false;
 };
 
--- a/tests/policy/harness/command_sink.hpp
+++ b/tests/policy/harness/command_sink.hpp
@@ -6,7 +6,7 @@
 
 class EntryNode;
 
-/// Carries out what a decision maker decided.
+/// Executes the commands of a decision maker.
 class CommandSink
 {
 public:
--- a/tests/policy/harness/demand_meter.hpp
+++ b/tests/policy/harness/demand_meter.hpp
@@ -9,34 +9,34 @@
 
 namespace snipestall::policy::harness {
 
-/// What was asked and done in one period.
+/// The demand and the work done in one period.
 struct DemandRate
 {
-    /// Prompt and output tokens a second.
+    /// Requested prompt and output tokens per second.
     double asked = 0;
     double answered = 0;
-    /// Servers that the work done would have kept wholly busy.
+    /// Number of servers that the work done would have kept fully busy.
     double busyServers = 0;
 
-    /// Tokens a second that one server answers when all its slots are busy.
+    /// Returns the tokens per second that one server answers when all its slots are busy.
     [[nodiscard]] double perBusyServer() const
     {
         return busyServers > 0 ? answered / busyServers : 0;
     }
 };
 
-/// Measures, for each data centre and service, what a steward reports as demand.
+/// Measures the demand that a steward reports for each data centre and service.
 class DemandMeter
 {
 public:
     void countAsked(const Call &call, const std::string &dataCentre);
     void countAnswered(const Call &call, const std::string &dataCentre);
-    /// Counts a sample of one server's load, taken each `period`.
+    /// Adds a sample of the load of one server, taken every `period`.
     void countBusy(const std::string &dataCentre, const std::string &service, double servers,
                    Duration period);
-    /// Turns what was counted since the last time into rates.
+    /// Turns the counts since the last call into rates; `length` is the time since then.
     void roll(Duration length);
-    /// Over the last whole period.
+    /// Returns the rates of the last complete period.
     [[nodiscard]] DemandRate rate(const std::string &dataCentre, const std::string &service) const;
 
 private:
--- a/tests/policy/harness/deployment.cpp
+++ b/tests/policy/harness/deployment.cpp
@@ -10,16 +10,17 @@
 using settings::ServiceKind;
 using settings::ServiceSettings;
 
-/// The experiment measures placing and order; limits are the matter of their own scenario.
+/// The limits are never reached, because the experiment measures placement and order; limits have a
+/// scenario of their own.
 constexpr double NoRequestLimit = 1e6;
 constexpr double NoTokenLimit = 1e9;
 constexpr std::uint32_t NoConcurrencyLimit = 1000000;
-/// Takes in the lookups of both deployments and no other kind.
+/// Long enough for the lookups of both deployments, and too short for every other kind of request.
 constexpr std::uint32_t ShortTokens = 768;
 
-const ClassSettings Cheap { "", "spot-small", true, 0.7, 0.6 };
-const ClassSettings Steady { "", "spot-large", true, 1.0, 0.2 };
-const ClassSettings Kept { "", "on-demand", false, 3.0, 0.0 };
+const ClassSettings SpotSmall { "", "spot-small", true, 0.7, 0.6 };
+const ClassSettings SpotLarge { "", "spot-large", true, 1.0, 0.2 };
+const ClassSettings OnDemand { "", "on-demand", false, 3.0, 0.0 };
 
 ServerModel plainServer()
 {
@@ -31,23 +32,25 @@
                          .cacheBlocks = 0 };
 }
 
-void addGroups(Deployment &deployment, const std::vector<std::uint32_t> &cheap,
-               const std::vector<std::uint32_t> &steady)
+void addGroups(Deployment &deployment, const std::vector<std::uint32_t> &spotSmall,
+               const std::vector<std::uint32_t> &spotLarge)
 {
     for (std::size_t i = 0; i < deployment.dataCentres.size(); ++i) {
-        const auto &place = deployment.dataCentres[i];
-        deployment.groups.push_back({ deployment.modelService, place, Cheap.name, cheap[i] });
-        deployment.groups.push_back({ deployment.modelService, place, Steady.name, steady[i] });
-        deployment.groups.push_back({ deployment.plainService, place, Kept.name, 1 });
+        const auto &dataCentre = deployment.dataCentres[i];
+        deployment.groups.push_back(
+            { deployment.modelService, dataCentre, SpotSmall.name, spotSmall[i] });
+        deployment.groups.push_back(
+            { deployment.modelService, dataCentre, SpotLarge.name, spotLarge[i] });
+        deployment.groups.push_back({ deployment.plainService, dataCentre, OnDemand.name, 1 });
     }
     deployment.nominalServers = deployment.servers(deployment.modelService);
 }
 
 void addClasses(Deployment &deployment)
 {
-    for (const auto &place : deployment.dataCentres) {
-        for (auto entry : { Cheap, Steady, Kept }) {
-            entry.dataCentre = place;
+    for (const auto &dataCentre : deployment.dataCentres) {
+        for (auto entry : { SpotSmall, SpotLarge, OnDemand }) {
+            entry.dataCentre = dataCentre;
             deployment.settings.classes.push_back(entry);
         }
     }
--- a/tests/policy/harness/deployment.hpp
+++ b/tests/policy/harness/deployment.hpp
@@ -14,7 +14,7 @@
 
 namespace snipestall::policy::harness {
 
-/// Servers of one service, data centre and instance class.
+/// A group of servers of one service, data centre and instance class.
 struct ServerGroup
 {
     std::string service;
@@ -31,7 +31,7 @@
     double demand = 1;
 };
 
-/// The size and habits of one provider's installation.
+/// The size, load and settings of the installation of one provider.
 struct Deployment
 {
     std::string name;
@@ -48,14 +48,14 @@
     std::vector<RequestKind> kinds;
     RequestKind plainKind;
     settings::EffectiveSettings settings;
-    /// Model servers that a load level of 1 uses up.
+    /// Number of model servers that a load level of 1 uses up.
     std::uint32_t nominalServers = 0;
 
     [[nodiscard]] const ServerModel &model(std::string_view service) const;
     [[nodiscard]] std::uint32_t servers(std::string_view service) const;
 };
 
-/// "karadeniz" or "midlands".
+/// Makes the deployment "karadeniz" or "midlands"; any other name is NotFound.
 Result<Deployment> makeDeployment(std::string_view name);
 
 } // namespace snipestall::policy::harness
--- a/tests/policy/harness/entry_node.cpp
+++ b/tests/policy/harness/entry_node.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// The edge's timer is no finer than this.
+/// Resolution of the timer of an edge.
 constexpr Duration TimerStep = std::chrono::milliseconds(1);
 
 } // namespace
--- a/tests/policy/harness/entry_node.hpp
+++ b/tests/policy/harness/entry_node.hpp
@@ -16,7 +16,7 @@
 class CommandSink;
 class VirtualLoop;
 
-/// Which attempt of which instance a forwarded request came from.
+/// The attempt, and its instance, that a forwarded request came from.
 struct Origin
 {
     std::size_t node = 0;
@@ -27,12 +27,12 @@
 {
     CallIndex call = 0;
     std::optional<Origin> origin {};
-    /// An attempt of this instance may have run.
+    /// Whether an attempt of this instance may have run.
     bool sent = false;
     AttemptResult lastResult = AttemptResult::NotSent;
 };
 
-/// An attempt in progress: on a backend server, or at a peer.
+/// An attempt in progress, on a backend server or at a peer.
 struct NodeAttempt
 {
     RequestHandle request;
@@ -42,14 +42,14 @@
     RequestHandle peerRequest {};
 };
 
-/// One instance: a decision maker, its inbox, and what an edge would keep beside it.
+/// One instance: a decision maker, its inbox, and the state that an edge keeps for it.
 class EntryNode
 {
 public:
     EntryNode(std::size_t index, std::string name, std::string dataCentre,
               std::unique_ptr<DecisionMaker> maker, VirtualLoop &loop, CommandSink &sink);
 
-    /// Events of one moment are decided on together.
+    /// Queues an event; all events of the same moment are passed to the decision maker together.
     void post(Event event);
     RequestHandle addRequest(const NodeRequest &request);
 
--- a/tests/policy/harness/fairness.cpp
+++ b/tests/policy/harness/fairness.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-struct Claim
+struct Entitlement
 {
     double weight = 0;
     double asked = 0;
@@ -16,26 +16,27 @@
     bool isFull = false;
 };
 
-/// Hands out by weight; what a customer doesn't ask for goes round again to the others.
-void divide(std::vector<Claim> &claims, double total)
+/// Divides `total` by weight; what a customer does not ask for is divided again among the others.
+void divide(std::vector<Entitlement> &entitlements, double total)
 {
     while (total > 1) {
         double weight = 0;
-        for (const auto &claim : claims) {
-            weight += claim.isFull ? 0 : claim.weight;
+        for (const auto &entitlement : entitlements) {
+            weight += entitlement.isFull ? 0 : entitlement.weight;
         }
         if (weight <= 0) {
             return;
         }
         double given = 0;
-        for (auto &claim : claims) {
-            if (claim.isFull) {
+        for (auto &entitlement : entitlements) {
+            if (entitlement.isFull) {
                 continue;
             }
-            const double part = std::min(total * claim.weight / weight, claim.asked - claim.due);
-            claim.due += part;
+            const double part =
+                std::min(total * entitlement.weight / weight, entitlement.asked - entitlement.due);
+            entitlement.due += part;
             given += part;
-            claim.isFull = claim.asked - claim.due < 1;
+            entitlement.isFull = entitlement.asked - entitlement.due < 1;
         }
         total -= given;
     }
@@ -46,7 +47,7 @@
 double fairness(const std::map<std::string, Tally> &byCustomer,
                 const std::vector<CustomerShare> &customers)
 {
-    std::vector<Claim> claims;
+    std::vector<Entitlement> entitlements;
     double total = 0;
     for (const auto &customer : customers) {
         const auto found = byCustomer.find(customer.name);
@@ -54,15 +55,15 @@
             continue;
         }
         const auto &tally = found->second;
-        claims.push_back({ customer.weight, static_cast<double>(tally.tokensAsked),
-                           static_cast<double>(tally.tokensAnswered) });
-        total += claims.back().answered;
+        entitlements.push_back({ customer.weight, static_cast<double>(tally.tokensAsked),
+                                 static_cast<double>(tally.tokensAnswered) });
+        total += entitlements.back().answered;
     }
-    divide(claims, total);
+    divide(entitlements, total);
     double least = std::numeric_limits<double>::max();
     double greatest = 0;
-    for (const auto &claim : claims) {
-        const double got = claim.due > 0 ? claim.answered / claim.due : 1;
+    for (const auto &entitlement : entitlements) {
+        const double got = entitlement.due > 0 ? entitlement.answered / entitlement.due : 1;
         least = std::min(least, got);
         greatest = std::max(greatest, got);
     }
--- a/tests/policy/harness/fairness.hpp
+++ b/tests/policy/harness/fairness.hpp
@@ -9,9 +9,10 @@
 
 namespace snipestall::policy::harness {
 
-/// Weighted max-min fairness: every customer's answered tokens over what the tokens answered in all
-/// would have given it, had they been divided by weight and no customer got more than it asked for.
-/// Returns the least over the greatest of these; 1 is perfectly fair.
+/// Weighted max-min fairness. For each customer, takes the ratio of its answered tokens to the
+/// tokens it would have got if all answered tokens had been divided by weight and no customer had
+/// got more than it asked for. Returns the smallest of these ratios divided by the greatest; 1 is
+/// perfectly fair.
 double fairness(const std::map<std::string, Tally> &byCustomer,
                 const std::vector<CustomerShare> &customers);
 
--- a/tests/policy/harness/fake_server.cpp
+++ b/tests/policy/harness/fake_server.cpp
@@ -14,7 +14,7 @@
 
 constexpr Duration EngineStep = 10ms;
 constexpr Duration FailFastDelay = 2ms;
-/// Tokens told in one event after the first; only saves events.
+/// Tokens reported in one event after the first event; this only reduces the number of events.
 constexpr std::uint32_t TokensPerEvent = 8;
 
 double seconds(Duration duration)
@@ -54,7 +54,7 @@
     std::erase_if(m_queue, [work](const Work &queued) { return queued.id == work; });
 }
 
-void FakeServer::die()
+void FakeServer::endAllWork()
 {
     m_alive = false;
     const auto batch = std::exchange(m_batch, {});
--- a/tests/policy/harness/fake_server.hpp
+++ b/tests/policy/harness/fake_server.hpp
@@ -17,18 +17,18 @@
 class VirtualLoop;
 
 /// A model engine or plain service under virtual time: continuous batching, a prefix cache, a FIFO
-/// queue of its own, and the faults a scenario asks for.
+/// queue, and the faults that a scenario injects.
 class FakeServer
 {
 public:
     FakeServer(ServerHandle handle, const ServerModel &model, VirtualLoop &loop,
                ServerListener &listener);
 
-    /// False when it is full.
+    /// Returns false when the server is full.
     bool start(Work work);
     void cancel(std::uint64_t work);
-    /// Ends everything in progress.
-    void die();
+    /// Ends every attempt in progress.
+    void endAllWork();
 
     void setSlowFactor(double factor) { m_slowFactor = factor; }
     void setFailsFast(bool failsFast) { m_failsFast = failsFast; }
@@ -37,8 +37,8 @@
     [[nodiscard]] std::uint32_t running() const;
     [[nodiscard]] std::uint32_t queued() const;
     [[nodiscard]] const ServerModel &model() const { return m_model; }
-    /// When a transfer of that many tokens of KV cache, asked for now, is done; a server's exports
-    /// and imports go one after the other.
+    /// Reserves a transfer of KV cache for that many tokens and returns when it is done. The
+    /// exports and imports of a server run one after the other.
     Time reserveTransfer(std::uint32_t tokens);
 
 private:
@@ -56,7 +56,7 @@
     void fillBatch();
     void prefill();
     void decode();
-    /// True when the stream is done.
+    /// Returns true when the stream is done.
     bool emit(Stream &stream);
 
     ServerHandle m_handle;
--- a/tests/policy/harness/fleet.cpp
+++ b/tests/policy/harness/fleet.cpp
@@ -75,7 +75,7 @@
 void Fleet::end(FleetServer &server)
 {
     server.endedAt = m_loop.now();
-    server.fake->die();
+    server.fake->endAllWork();
 }
 
 FleetServer *Fleet::find(ServerHandle handle)
--- a/tests/policy/harness/fleet.hpp
+++ b/tests/policy/harness/fleet.hpp
@@ -13,7 +13,7 @@
 
 namespace snipestall::policy::harness {
 
-/// One backend server that was bought, alive or not.
+/// A backend server that was started, alive or not.
 struct FleetServer
 {
     ServerHandle handle;
@@ -36,11 +36,12 @@
     Fleet(const Deployment &deployment, VirtualLoop &loop, ServerListener &listener);
 
     FleetServer &start(const ServerGroup &group);
-    /// Instances of a group that are on their way.
+    /// Returns how many instances of a group are starting.
     [[nodiscard]] std::uint32_t starting(const ServerGroup &group) const;
-    /// Buys one; false when starts are refused.
+    /// Orders a server; returns false when the cloud refuses starts.
     bool buy(const ServerGroup &group, const ServerAction &started);
-    /// Buys a replacement after the start time, later while starts are refused.
+    /// Starts a replacement after the start time of the service, or later while the cloud refuses
+    /// starts.
     void replace(const ServerGroup &group, const ServerAction &started);
     void end(FleetServer &server);
 
--- a/tests/policy/harness/ledger.hpp
+++ b/tests/policy/harness/ledger.hpp
@@ -9,7 +9,7 @@
 
 namespace snipestall::policy::harness {
 
-/// Outcomes of one group of calls.
+/// The outcomes of one group of calls.
 struct Tally
 {
     std::uint32_t calls = 0;
@@ -21,10 +21,10 @@
     std::uint32_t cancelled = 0;
     std::uint32_t lost = 0;
     std::uint64_t outputInTarget = 0;
-    /// Prompt and output.
+    /// Counts prompt and output tokens.
     std::uint64_t tokensAsked = 0;
     std::uint64_t tokensAnswered = 0;
-    /// Sorted; of the calls that got a first token.
+    /// Times to the first token of the calls that got one, in ascending order.
     std::vector<Duration> firstToken {};
 
     [[nodiscard]] double share() const;
@@ -37,12 +37,13 @@
     Time to = Time::max();
 };
 
-/// What became of every call, and what went wrong on the way.
+/// Records the outcome of every call and the violations of the contract.
 class Ledger
 {
 public:
     std::vector<Call> calls;
-    /// Calls that are not idempotent and were sent again although they might have run.
+    /// Calls that are not idempotent and were sent again although an earlier attempt might have
+    /// run.
     std::uint32_t doubled = 0;
     std::uint32_t answersToClosedCalls = 0;
     std::uint32_t refusalsWithoutTime = 0;
@@ -52,15 +53,15 @@
     std::uint32_t serversCrashed = 0;
     double cost = 0;
 
-    /// Calls that arrived in the span.
+    /// Groups the calls that arrived in the span by kind.
     [[nodiscard]] std::map<std::string, Tally> byKind(const Span &span) const;
-    /// Model calls by urgency; calls of the plain service as "plain";
-    /// requests that crash servers, which nobody can answer, as "crasher".
+    /// Groups model calls by urgency, calls of the plain service as "plain", and requests that
+    /// crash servers, which no server can answer, as "crasher".
     [[nodiscard]] std::map<std::string, Tally> byUrgency(const Span &span) const;
     [[nodiscard]] std::map<std::string, Tally> byCustomer(const Span &span,
                                                           const std::string &service) const;
     [[nodiscard]] std::uint32_t lost() const;
-    /// Tokens computed again for the calls that ended from that moment on.
+    /// Returns the tokens that were computed again for the calls that ended at or after `since`.
     [[nodiscard]] std::uint64_t lostTokens(Time since) const;
     [[nodiscard]] std::uint64_t missedTokens(Time since) const;
 };
--- a/tests/policy/harness/load.hpp
+++ b/tests/policy/harness/load.hpp
@@ -11,22 +11,24 @@
 
 namespace snipestall::policy::harness {
 
-/// What callers ask for from one moment on. Levels are parts of what the whole fleet can serve.
+/// The load from a moment on. Levels are fractions of what the whole fleet can serve.
 struct Load
 {
     double level = 0;
     double plainLevel = 0.1;
-    /// Empty: the deployment's own.
+    /// If empty, the kinds of the deployment apply.
     std::vector<RequestKind> kinds;
-    /// Overrides of customers' shares; the others divide the rest.
+    /// Overrides the shares of some customers; the others divide the rest.
     std::map<std::string, double> customerShare;
-    /// Part of the requests that use one and the same template.
+    /// Fraction of the requests that use one and the same template.
     double hotPrefix = 0;
-    /// Part of the callers that come back at once when refused, whatever they were told.
+    /// Fraction of the callers that retry at once when refused, regardless of the retry time in the
+    /// refusal.
     double ignoreRetryAfter = 0;
-    /// Submissions a caller makes in all.
+    /// Number of submissions that a caller makes in all.
     std::uint32_t tries = 1;
-    /// A caller that saw no token for so long gives up and, with tries left, asks again.
+    /// A caller that has received no token for this long gives up and, with tries left, submits
+    /// again.
     std::optional<Duration> patience;
 };
 
--- a/tests/policy/harness/prefix_cache.hpp
+++ b/tests/policy/harness/prefix_cache.hpp
@@ -9,7 +9,7 @@
 
 namespace snipestall::policy::harness {
 
-/// Least-recently-used cache of prompt blocks, as a model engine keeps it.
+/// A least-recently-used cache of prompt blocks, like that of a model engine.
 class PrefixCache
 {
 public:
@@ -23,7 +23,7 @@
         : m_capacity(capacity)
     { }
 
-    /// Leading blocks of the chain that are cached.
+    /// Returns the number of leading blocks of the chain that are cached.
     std::size_t match(std::span<const std::uint64_t> chain);
     std::vector<Change> insert(std::span<const std::uint64_t> chain);
 
--- a/tests/policy/harness/request_kind.hpp
+++ b/tests/policy/harness/request_kind.hpp
@@ -8,18 +8,19 @@
 
 namespace snipestall::policy::harness {
 
-/// One sort of request that callers make.
+/// A kind of request that callers submit.
 struct RequestKind
 {
     std::string name {};
     Urgency urgency = Urgency::Normal;
-    /// Leading prompt tokens shared with other requests of the same customer and template.
+    /// Number of leading prompt tokens that are shared with other requests of the same customer and
+    /// template.
     std::uint32_t templateTokens = 0;
     std::uint32_t promptTokens = 0;
     std::uint32_t outputTokens = 0;
     std::chrono::milliseconds deadline { 30000 };
     bool idempotent = true;
-    /// Share of the load by count.
+    /// Share of the load by number of requests.
     double weight = 1;
 };
 
--- a/tests/policy/harness/ask.hpp
+++ b/tests/policy/harness/request_spec.hpp
@@ -9,8 +9,8 @@
 
 namespace snipestall::policy::harness {
 
-/// What a caller wants, the same each time it asks again.
-struct Ask
+/// A request as its caller specifies it, the same for each submission.
+struct RequestSpec
 {
     std::string kind;
     std::string customer;
@@ -20,7 +20,7 @@
     std::uint32_t promptTokens = 0;
     std::uint32_t outputTokens = 0;
     std::vector<std::uint64_t> prefix;
-    /// Hash of the whole body; the same each time it is sent.
+    /// Hash of the whole body, the same for each submission.
     std::uint64_t fingerprint = 0;
     bool idempotent = true;
     bool crashesServer = false;
--- a/tests/policy/harness/server_listener.hpp
+++ b/tests/policy/harness/server_listener.hpp
@@ -9,7 +9,7 @@
 
 namespace snipestall::policy::harness {
 
-/// Told what a fake backend server does.
+/// Receives the events of a fake backend server.
 class ServerListener
 {
 public:
--- a/tests/policy/harness/server_model.hpp
+++ b/tests/policy/harness/server_model.hpp
@@ -7,16 +7,17 @@
 
 namespace snipestall::policy::harness {
 
-/// Prompt tokens in one block of a prefix chain.
+/// Number of prompt tokens in one block of a prefix chain.
 inline constexpr std::uint32_t BlockTokens = 256;
 
-/// How fast a fake backend server is, and what it holds.
+/// The speed and the capacity of a fake backend server.
 struct ServerModel
 {
-    /// Batch size up to which a token takes `interToken`; beyond it grows in proportion.
+    /// Batch size up to which a token takes `interToken`. Beyond it the time for a token grows in
+    /// proportion to the batch size.
     std::uint32_t slots = 8;
     std::uint32_t maxBatch = 12;
-    /// Requests that wait inside the engine; beyond them it declines.
+    /// Number of requests that wait inside the engine; the engine declines any beyond them.
     std::uint32_t queueLimit = 24;
     Duration interToken = std::chrono::milliseconds(22);
     double prefillTokensPerSecond = 8000;
--- a/tests/policy/harness/virtual_loop.hpp
+++ b/tests/policy/harness/virtual_loop.hpp
@@ -9,7 +9,8 @@
 
 namespace snipestall::policy::harness {
 
-/// Runs actions in order of virtual time; actions of one moment run in the order they were added.
+/// Runs actions in the order of virtual time; actions of the same moment run in the order in which
+/// they were added.
 class VirtualLoop
 {
 public:
--- a/tests/policy/harness/work.hpp
+++ b/tests/policy/harness/work.hpp
@@ -5,16 +5,16 @@
 
 namespace snipestall::policy::harness {
 
-/// One attempt as a fake backend server sees it.
+/// An attempt as a fake backend server receives it.
 struct Work
 {
     std::uint64_t id = 0;
-    /// Prompt and, when resumed, the output so far.
+    /// Number of tokens of the prompt and, for a resumed request, of the output so far.
     std::uint32_t prefillTokens = 0;
     std::uint32_t outputTokens = 0;
     std::vector<std::uint64_t> prefix {};
     bool kvImported = false;
-    /// Takes the server down once its prompt has been read.
+    /// Whether the request crashes the server once its prompt has been prefilled.
     bool crashesServer = false;
 };
 
--- a/tests/policy/move_test.cpp
+++ b/tests/policy/move_test.cpp
@@ -11,11 +11,12 @@
 
 using namespace std::chrono_literals;
 
-/// Sends all to the first server it hears of; at the notice moves everything to the second.
-class Mover final : public DecisionMaker
+/// Sends every request to the first server that it learns of; on notice moves all of them to the
+/// second.
+class MoveOnNotice final : public DecisionMaker
 {
 public:
-    explicit Mover(MoveMethod method)
+    explicit MoveOnNotice(MoveMethod method)
         : m_method(method)
     { }
 
@@ -51,7 +52,7 @@
     std::uint64_t m_lastAttempt = 0;
 };
 
-/// One entry instance, two servers; the first gets notice while it serves.
+/// Runs one entry instance with two servers; the first server gets notice while it serves.
 Ledger runMove(MoveMethod method)
 {
     auto deployment = *makeDeployment("karadeniz");
@@ -61,7 +62,7 @@
     deployment.nominalServers = 2;
     ClusterOptions options;
     options.factory = [method](const std::string &, std::uint64_t) {
-        return std::make_unique<Mover>(method);
+        return std::make_unique<MoveOnNotice>(method);
     };
     Cluster cluster(deployment, options);
     Callers callers(cluster, 5);
--- a/tests/policy/scenario/expectation_reader.cpp
+++ b/tests/policy/scenario/expectation_reader.cpp
@@ -17,7 +17,7 @@
 
 constexpr double Percent = 100;
 
-/// Each may be at most what the scenario says.
+/// Counts of the ledger; each must be at most the limit that the scenario gives.
 const std::map<std::string, Count> Counts {
     { "lost", [](const Ledger &ledger) -> std::uint64_t { return ledger.lost(); } },
     { "doubled", [](const Ledger &ledger) -> std::uint64_t { return ledger.doubled; } },
@@ -36,7 +36,7 @@
     { "lost_tokens", [](const Ledger &ledger) -> std::uint64_t { return ledger.lostTokens({}); } },
 };
 
-/// Parts of the calls of one urgency; each must be at least what the scenario says.
+/// Fractions of the calls of one urgency; each must be at least the limit that the scenario gives.
 const std::map<std::string, Part> Parts {
     { "in_target", [](const Tally &tally) { return tally.share(); } },
     { "answered",
--- a/tests/policy/scenario/expectation_reader.hpp
+++ b/tests/policy/scenario/expectation_reader.hpp
@@ -8,7 +8,7 @@
 
 namespace snipestall::policy::harness {
 
-/// Reads what a scenario expects of its ledger.
+/// Reads the expectations that a scenario has of its ledger.
 std::vector<Expectation> readExpectations(const YAML::Node &node, const std::string &path,
                                           Faults &faults);
 
--- a/tests/policy/scenario/scenario.cpp
+++ b/tests/policy/scenario/scenario.cpp
@@ -8,7 +8,8 @@
 
 using namespace std::chrono_literals;
 
-/// Past the latest deadline of any kind of request, so that what is still open then is lost.
+/// Longer than the latest deadline of any kind of request, so that a call that is still open then
+/// is lost.
 constexpr Duration DrainTime = 150s;
 
 } // namespace
--- a/tests/policy/scenario/scenario.hpp
+++ b/tests/policy/scenario/scenario.hpp
@@ -19,16 +19,16 @@
     std::function<void(Stage &)> act;
 };
 
-/// Gives what is wrong, or nothing.
+/// Returns a description of the violation, or nothing if the expectation is met.
 using Expectation = std::function<std::optional<std::string>(const Ledger &, const Deployment &)>;
 
-/// A scripted run without sockets.
+/// A scripted simulation run without sockets.
 struct Scenario
 {
     std::string name;
     std::vector<std::string> deployments;
     std::uint64_t seed = 1;
-    /// No new requests after it, but those at work may end.
+    /// Time after which no new requests are submitted; requests in progress may still end.
     Duration duration {};
     std::vector<ScenarioStep> steps;
     std::vector<Expectation> expectations;
--- a/tests/policy/scenario/scenario_reader.hpp
+++ b/tests/policy/scenario/scenario_reader.hpp
@@ -10,7 +10,7 @@
 
 namespace snipestall::policy::harness {
 
-/// Reads one scenario; every fault in one go, each with its path.
+/// Reads a scenario; reports all faults together, each with its path.
 tl::expected<Scenario, Faults> readScenario(std::string name, std::string_view yaml);
 
 } // namespace snipestall::policy::harness
--- a/tests/policy/scenario/stage.cpp
+++ b/tests/policy/scenario/stage.cpp
@@ -23,11 +23,11 @@
 void Stage::reclaimDataCentre(std::size_t number, Duration notice)
 {
     const auto &deployment = m_cluster.deployment();
-    const auto &place = deployment.dataCentres.at(number);
+    const auto &dataCentre = deployment.dataCentres.at(number);
     std::vector<FleetServer *> servers;
     for (const auto &service : { deployment.modelService, deployment.plainService }) {
         for (auto *server : m_cluster.fleet().alive(service)) {
-            if (server->group.dataCentre == place) {
+            if (server->group.dataCentre == dataCentre) {
                 servers.push_back(server);
             }
         }
--- a/tests/policy/scenario/stage.hpp
+++ b/tests/policy/scenario/stage.hpp
@@ -7,7 +7,7 @@
 
 namespace snipestall::policy::harness {
 
-/// What the steps of a scenario act on.
+/// Carries out the steps of a scenario on the cluster and its callers.
 class Stage
 {
 public:
@@ -16,14 +16,15 @@
     void setLoad(const Load &load) { m_callers.setLoad(load); }
     void submitCrasher(std::uint32_t tries) { m_callers.submitCrasher(tries); }
     void setReportLag(Duration lag) { m_cluster.setReportLag(lag); }
-    /// A part of the model servers, drawn by the seed.
+    /// Reclaims a fraction of the model servers, chosen at random by the seed.
     void reclaimPart(double part, Duration notice);
-    /// All backend servers of one data centre, plain services included.
+    /// Reclaims all backend servers of one data centre, plain services included.
     void reclaimDataCentre(std::size_t number, Duration notice);
     void refuseStarts(Duration length);
     void slow(std::size_t servers, double factor, Duration length);
     void failFast(std::size_t servers, Duration length);
-    /// Limits the customer with the largest share of the load, per data centre.
+    /// Limits the requests per second, in each data centre, of the customer with the largest share
+    /// of the load.
     void limitLargestCustomer(double requestsPerSecond);
     [[nodiscard]] const std::string &largestCustomer() const;
 
--- a/tests/policy/scenario/yaml_fields.hpp
+++ b/tests/policy/scenario/yaml_fields.hpp
@@ -14,12 +14,13 @@
 
 using Faults = std::vector<settings::Fault>;
 
-/// "0.5", "50%"
+/// Parses a number or percentage such as "0.5" or "50%".
 std::optional<double> parseNumber(const std::string &text);
-/// "250ms", "5s", "2min"
+/// Parses a duration such as "250ms", "5s" or "2min".
 std::optional<Duration> parseDuration(const std::string &text);
 
-/// Reads one YAML map; remembers what was asked for, so that any other key is a fault.
+/// Reads one YAML map and records the keys that were read, so that any other key can be reported as
+/// a fault.
 class YamlFields
 {
 public:
@@ -30,12 +31,12 @@
     Duration duration(const std::string &key, Duration absent);
     Duration duration(const std::string &key);
     std::vector<std::string> texts(const std::string &key);
-    /// The child map or sequence; undefined where there is none.
+    /// Returns the child map or sequence, or an undefined node if there is none.
     YAML::Node child(const std::string &key);
     [[nodiscard]] bool has(const std::string &key) const;
     [[nodiscard]] std::string pathOf(const std::string &key) const;
     void faultAt(const std::string &key, const std::string &found, const std::string &allowed);
-    /// Reports every key that nothing asked for.
+    /// Reports every key that was not read.
     void rejectOthers();
 
 private:
--- a/tests/policy/scenario_test.cpp
+++ b/tests/policy/scenario_test.cpp
@@ -50,7 +50,7 @@
 class PolicyScenario : public testing::TestWithParam<ScenarioRun>
 { };
 
-/// The stories are in the files, one each.
+/// Each scenario file describes the failure that it guards against.
 TEST_P(PolicyScenario, KeepsItsExpectations)
 {
     const auto scenario = read(GetParam().file);
--- a/tests/proof/at_most_once_test.cpp
+++ b/tests/proof/at_most_once_test.cpp
@@ -14,13 +14,15 @@
 namespace snipestall::harness {
 namespace {
 
-/// A request marked as non-idempotent runs at most once. The ledger services' own counts judge.
+/// Tests that a request marked as non-idempotent runs at most once, by the run counts that the
+/// ledger services keep.
 class AtMostOnceTest : public TopologyTest
 {
 protected:
     std::int64_t runs(const std::string &key) { return runsOf(topology().ledger(), key); }
 
-    /// A repeat waits for the outcome of the run before it, up to its own deadline.
+    /// Sends a top-up with a deadline of 3000 ms. A repeat waits for the outcome of the run before
+    /// it, up to its own deadline.
     Answer topUpAt(const std::string &entry, const std::string &key)
     {
         auto request = topUp(key);
@@ -42,21 +44,21 @@
         return count;
     }
 
-    /// What the callers were told must fit what the ledgers say.
-    void expectTruth(const std::string &key, const std::vector<Answer> &answers)
+    /// Expects that the outcomes in the answers match the run counts of the ledgers.
+    void expectOutcomesMatchRuns(const std::string &key, const std::vector<Answer> &answers)
     {
         const std::int64_t count = runs(key);
         EXPECT_LE(count, 1) << key;
-        std::string told;
+        std::string answerTexts;
         for (const Answer &answer : answers)
-            told += "\n" + answer.toString();
+            answerTexts += "\n" + answer.toString();
         const auto completed = [](const Answer &answer) { return answer.completed(); };
         const auto notRun = [](const Answer &answer) { return answer.notRun(); };
         if (std::any_of(answers.begin(), answers.end(), completed)) {
-            EXPECT_EQ(count, 1) << key << told;
+            EXPECT_EQ(count, 1) << key << answerTexts;
         }
         if (std::all_of(answers.begin(), answers.end(), notRun)) {
-            EXPECT_EQ(count, 0) << key << told;
+            EXPECT_EQ(count, 0) << key << answerTexts;
         }
     }
 };
@@ -71,9 +73,10 @@
     return spec;
 }
 
-// A client library sends a top-up to both data centres at the same moment, as one that hedges does.
-// Both instances claim the key. The account must be charged once, and each caller must be told the
-// one outcome or that it can't be known; this for several keys at once.
+// Guards against charging an account twice when a client library hedges: it sends a top-up to both
+// data centres at the same moment, and both instances claim the key. The account must be charged
+// once, and each caller must get the one outcome or the answer that the outcome is unknown. Several
+// keys are sent at once.
 TEST_F(AtMostOnceTest, TwoSubmissionsOfOneKeyReachTwoDataCentresAtTheSameMoment)
 {
     constexpr int Keys = 8;
@@ -83,21 +86,22 @@
         const std::string key = "hedged-" + std::to_string(i);
         calls.emplace_back();
         for (const auto *entry : { "north-1", "south-1" })
-            calls.back().push_back(callLater(topology().callers(entry), topUp(key)));
+            calls.back().push_back(callAsync(topology().callers(entry), topUp(key)));
     }
     for (int i = 0; i < Keys; ++i) {
         const std::string key = "hedged-" + std::to_string(i);
         std::vector<Answer> answers;
         for (auto &answer : calls[static_cast<std::size_t>(i)])
             answers.push_back(answer.get());
-        expectTruth(key, answers);
+        expectOutcomesMatchRuns(key, answers);
         EXPECT_EQ(runs(key), 1) << answers[0].toString() << answers[1].toString();
     }
 }
 
-// The only instance of a data centre has written its claim and is paused before the table's yes
-// reaches it. The request's deadline passes, and the caller sends the top-up again elsewhere. The
-// instance then wakes with the yes on its socket: it must not send what its caller has given up.
+// Guards against sending a request that its caller has given up: the only instance of a data centre
+// has written its claim and is paused before the positive answer of the table reaches it. The
+// deadline of the request passes, and the caller sends the top-up again elsewhere. Then the
+// instance resumes and finds the positive answer in its socket.
 TEST_F(AtMostOnceTest, TheClaimerIsFrozenPastTheDeadlineAndWakes)
 {
     constexpr std::chrono::milliseconds Deadline { 4000 };
@@ -109,25 +113,27 @@
     topology().proxy("platform/north").set(R"({"delay_ms":400})");
     auto request = topUp("frozen");
     request.fields.set("Snipestall-Deadline-Ms", std::to_string(Deadline.count()));
-    auto first = callLater(topology().callers("north-1"), request);
+    auto first = callAsync(topology().callers("north-1"), request);
     ASSERT_TRUE(waitUntil([&] { return claimRows() > before; }));
     topology().process("north-1").freeze();
     EXPECT_EQ(runs("frozen"), 0);
     std::this_thread::sleep_for(Deadline + std::chrono::seconds(1));
     const Answer again = topUpAt("south-1", "frozen");
-    EXPECT_EQ(runs("frozen"), 0) << "the claim is the frozen instance's: " << again.toString();
+    EXPECT_EQ(runs("frozen"), 0) << "the claim belongs to the frozen instance: "
+                                 << again.toString();
     EXPECT_FALSE(again.completed()) << again.toString();
     topology().process("north-1").thaw();
     topology().proxy("platform/north").heal();
     const Answer woken = first.get();
     EXPECT_FALSE(woken.completed()) << woken.toString();
-    expectTruth("frozen", { woken, again });
+    expectOutcomesMatchRuns("frozen", { woken, again });
     EXPECT_EQ(runs("frozen"), 0);
 }
 
-// The service books the top-up and the connection breaks before its receipt is out. The caller sees
-// no outcome and sends it again, here and in the other data centre. It must not be booked again,
-// and nobody may be told that it was not run.
+// Guards against a second charge after a lost receipt: the service books the top-up, and the
+// connection breaks before the receipt is sent. The caller gets no outcome and sends the top-up
+// again, in this and in the other data centre. It must not be booked again, and no answer may say
+// that it was not run.
 TEST_F(AtMostOnceTest, TheServiceRunsItAndItsAnswerIsCut)
 {
     start(TopologySpec::small());
@@ -142,15 +148,16 @@
     EXPECT_EQ(runs("cut"), 1);
 }
 
-// The instance that took the top-up dies while the service works on it. The caller's connection
-// breaks, and it sends the top-up again to the instance beside and to the other data centre. It
-// must not be booked again, and nobody may be told that it was not run.
+// Guards against a second charge after an instance was killed: the instance that accepted the
+// top-up is killed while the service works on it. The connection of the caller breaks, and it sends
+// the top-up again to another instance of the data centre and to the other data centre. It must not
+// be booked again, and no answer may say that it was not run.
 TEST_F(AtMostOnceTest, TheEntryInstanceIsKilledAfterDispatchAndTheCallerRepeatsElsewhere)
 {
     start(slowLedgers("2000"));
     auto request = topUp("killed");
     request.fields.set("Snipestall-Deadline-Ms", "8000");
-    auto first = callLater(topology().callers("north-1"), request);
+    auto first = callAsync(topology().callers("north-1"), request);
     ASSERT_TRUE(waitUntil([this] { return runs("killed") == 1; }));
     topology().process("north-1").kill();
     EXPECT_EQ(first.get().status, 0);
@@ -162,8 +169,9 @@
     EXPECT_EQ(runs("killed"), 1);
 }
 
-// The platform's table is down, so nobody can know whether a key has run. The top-up is refused as
-// not run with a time to come back, and that is true; after the outage the same key runs, once.
+// Guards against running a top-up while the table of the platform is down, when no instance can
+// know whether its key has run. The top-up must be refused as not run with a retry time, and must
+// not have run. After the outage the same key runs once.
 TEST_F(AtMostOnceTest, ThePlatformIsDownAndTheTopUpIsRefusedAndNotRun)
 {
     start(TopologySpec::small());
--- a/tests/proof/bad_input_test.cpp
+++ b/tests/proof/bad_input_test.cpp
@@ -15,7 +15,8 @@
         return call(topology().callers("north-1"), std::move(request));
     }
 
-    /// The one envelope, and the word that nothing ran.
+    /// Expects an answer with this status in the common error envelope, whose message contains
+    /// `remedy`.
     static void expectRefusal(const Answer &answer, int status, const std::string &remedy)
     {
         EXPECT_EQ(answer.status, status) << answer.toString();
@@ -24,8 +25,9 @@
     }
 };
 
-// A caller makes each mistake there is and is told what to do, by a status that its library knows;
-// the instance goes on serving others.
+// Guards against invalid requests that get no usable answer or stop the instance: a caller makes
+// each possible mistake, and must get a status that its client library knows and a message that
+// says how to correct the request. The instance must go on serving other requests.
 TEST_F(BadInputTest, EachMistakeIsNamedAndTheInstanceGoesOn)
 {
     start(TopologySpec::small());
--- a/tests/proof/caller.cpp
+++ b/tests/proof/caller.cpp
@@ -64,12 +64,12 @@
              field("Retry-After"), response->body };
 }
 
-std::future<Answer> callLater(const wire::Endpoint &entry, wire::HttpRequest request)
+std::future<Answer> callAsync(const wire::Endpoint &entry, wire::HttpRequest request)
 {
     return std::async(std::launch::async, call, entry, std::move(request));
 }
 
-std::string wholeText(const std::string &prompt, int tokens)
+std::string expectedText(const std::string &prompt, int tokens)
 {
     const auto hash = static_cast<std::uint32_t>(stableHash(prompt));
     char digits[9];
--- a/tests/proof/caller.hpp
+++ b/tests/proof/caller.hpp
@@ -8,10 +8,10 @@
 
 namespace snipestall::harness {
 
-/// What a caller saw of one call.
+/// The answer to a call as its caller received it.
 struct Answer
 {
-    /// Zero: no whole answer came.
+    /// HTTP status; 0 if no complete answer was received.
     int status = 0;
     std::string outcome {};
     std::string request {};
@@ -23,21 +23,21 @@
     [[nodiscard]] std::string toString() const;
 };
 
-/// A request under a customer's key.
+/// Makes a request with the API key of a customer.
 wire::HttpRequest customerRequest(const std::string &method, const std::string &target,
                                   const std::string &body = {});
-/// A balance change under a caller's key: not idempotent, as the default settings say.
+/// Makes a balance change with this idempotency key. By the default settings it is not idempotent.
 wire::HttpRequest topUp(const std::string &idempotencyKey);
 wire::HttpRequest completion(const std::string &prompt, int maxTokens, bool stream);
 
-/// One call, done when it returns.
+/// Sends a request and waits for its answer.
 Answer call(const wire::Endpoint &entry, wire::HttpRequest request);
-/// The same call on a thread of its own.
-std::future<Answer> callLater(const wire::Endpoint &entry, wire::HttpRequest request);
+/// Sends a request on a thread of its own.
+std::future<Answer> callAsync(const wire::Endpoint &entry, wire::HttpRequest request);
 
-/// The text that an engine gives for a prompt.
-std::string wholeText(const std::string &prompt, int tokens);
-/// The text in an answer that is not a stream.
+/// Returns the text that an engine generates for a prompt.
+std::string expectedText(const std::string &prompt, int tokens);
+/// Returns the text of an answer that is not a stream.
 std::string textOf(const Answer &answer);
 
 } // namespace snipestall::harness
--- a/tests/proof/crashing_request_test.cpp
+++ b/tests/proof/crashing_request_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr auto CrashingPrompt = "CRASH-THE-SERVER";
 
-/// A request that crashes every engine that runs it, sent again and again by its caller.
+/// Tests a request that crashes every engine that runs it and that its caller sends repeatedly.
 class CrashingRequestTest : public TopologyTest
 {
 protected:
@@ -31,8 +31,8 @@
         });
     }
 
-    /// Calls of callers that the entries have taken in, by their logs.
-    int callsTakenIn()
+    /// Counts the calls of callers that the entries have accepted, by their logs.
+    int acceptedCalls()
     {
         int calls = 0;
         for (const EntrySpec &entry : topology().spec().entries) {
@@ -46,7 +46,7 @@
         return calls;
     }
 
-    std::int64_t enginesDead()
+    std::int64_t crashedEngines()
     {
         const auto &servers = topology().spec().servers;
         return std::count_if(servers.begin(), servers.end(), [this](const ServerSpec &server) {
@@ -56,30 +56,33 @@
 
     enum class Order { OneAfterTheOther, AtOnce };
 
-    // Each sends the crashing request at every entry and returns what the caller was told.
+    // Each of these two functions sends the crashing request to every entry and returns the
+    // answers.
     std::string oneAfterTheOther()
     {
-        std::string told;
+        std::string answerTexts;
         for (const EntrySpec &entry : topology().spec().entries)
-            told += toldLine(entry.name, call(topology().callers(entry.name), crashing()));
-        return told;
+            answerTexts +=
+                answerLine(entry.name, call(topology().callers(entry.name), crashingRequest()));
+        return answerTexts;
     }
 
     std::string atOnce()
     {
         std::vector<std::pair<std::string, std::future<Answer>>> copies;
         for (const EntrySpec &entry : topology().spec().entries)
-            copies.emplace_back(entry.name, callLater(topology().callers(entry.name), crashing()));
-        std::string told;
+            copies.emplace_back(entry.name,
+                                callAsync(topology().callers(entry.name), crashingRequest()));
+        std::string answerTexts;
         for (auto &[entry, copy] : copies)
-            told += toldLine(entry, copy.get());
-        return told;
+            answerTexts += answerLine(entry, copy.get());
+        return answerTexts;
     }
 
-    /// Neighbours take 14 of the 16 slots and so stream on every engine while the crashing
-    /// request goes from entry to entry. Copies that are sent at once find 8 slots taken, so that
-    /// there is one for each of them on an engine of its own.
-    void sendAtEachEntry(TopologySpec spec, Order order = Order::OneAfterTheOther)
+    /// Other requests take 14 of the 16 slots and so stream on every engine while the crashing
+    /// request is sent to one entry after the other. If the copies are sent at once, the other
+    /// requests take only 8 slots, so that each copy has a slot on an engine of its own.
+    void sendToEachEntry(TopologySpec spec, Order order = Order::OneAfterTheOther)
     {
         const int neighbourCount = order == Order::AtOnce ? 8 : 14;
         constexpr int Tokens = 300;
@@ -87,50 +90,51 @@
             server.arguments = { "--token_ms=20", "--slots=4" };
         start(std::move(spec));
         const auto &entries = topology().spec().entries;
-        const int before = callsTakenIn();
+        const int before = acceptedCalls();
         std::vector<std::future<Answer>> neighbours;
         for (int i = 0; i < neighbourCount; ++i) {
             const auto &entry = entries[static_cast<std::size_t>(i) % entries.size()].name;
             const auto request = completion("neighbour " + std::to_string(i), Tokens, true);
-            neighbours.push_back(callLater(topology().callers(entry), request));
+            neighbours.push_back(callAsync(topology().callers(entry), request));
         }
-        // On a busy machine the thread of a neighbour's call starts late: overtaken by the crashing
-        // request, which takes the last slot, it is refused before any engine has died.
-        ASSERT_TRUE(waitUntil([&] { return callsTakenIn() == before + neighbourCount; }));
+        // On a busy machine the thread of a call may start late. The crashing request would then
+        // take the last slot first, and the call would be refused before any engine has crashed.
+        ASSERT_TRUE(waitUntil([&] { return acceptedCalls() == before + neighbourCount; }));
         ASSERT_TRUE(waitUntil([this] { return everyEngineRuns(); }));
-        const std::string told = order == Order::AtOnce ? atOnce() : oneAfterTheOther();
+        const std::string answerTexts = order == Order::AtOnce ? atOnce() : oneAfterTheOther();
         for (int i = 0; i < neighbourCount; ++i) {
             const Answer answer = neighbours[static_cast<std::size_t>(i)].get();
-            EXPECT_EQ(eventText(answer.body), wholeText("neighbour " + std::to_string(i), Tokens));
+            EXPECT_EQ(eventText(answer.body),
+                      expectedText("neighbour " + std::to_string(i), Tokens));
         }
-        EXPECT_GE(enginesDead(), 1) << told;
-        EXPECT_LE(enginesDead(), 2) << told;
+        EXPECT_GE(crashedEngines(), 1) << answerTexts;
+        EXPECT_LE(crashedEngines(), 2) << answerTexts;
     }
 
 private:
-    static wire::HttpRequest crashing() { return completion(CrashingPrompt, 8, false); }
+    static wire::HttpRequest crashingRequest() { return completion(CrashingPrompt, 8, false); }
 
-    static std::string toldLine(const std::string &entry, const Answer &answer)
+    static std::string answerLine(const std::string &entry, const Answer &answer)
     {
         EXPECT_FALSE(answer.completed()) << answer.toString();
         return "\n" + entry + ": " + answer.toString();
     }
 };
 
-// A caller's prompt kills each engine that runs it, and the caller sends it again at the next
-// instance each time it fails. Two of the four engines may die of it, no more, and the callers
-// whose streams ran beside it must get their answers in full.
+// Guards against a prompt that crashes one engine after the other: its caller sends it again at the
+// next instance each time it fails. At most two of the four engines may crash, and the callers
+// whose streams ran on the same engines must get their complete answers.
 TEST_F(CrashingRequestTest, SentAtThreeInstancesOfOneDataCentre)
 {
     TopologySpec spec;
     spec.entries = { { "north-1", "north" }, { "north-2", "north" }, { "north-3", "north" } };
     for (const auto *name : { "engine-1", "engine-2", "engine-3", "engine-4" })
         spec.servers.push_back({ name, "north", "language", { "writer" } });
-    sendAtEachEntry(spec);
+    sendToEachEntry(spec);
 }
 
-// The same with a second data centre, to which the caller turns last: what the first has learned
-// must be known there too.
+// Guards against the same with a second data centre, to which the caller sends the request last:
+// the crashes observed in the first data centre must be known there too.
 TEST_F(CrashingRequestTest, SentAtThreeInstancesOfTwoDataCentres)
 {
     TopologySpec spec;
@@ -139,20 +143,21 @@
                      { "engine-2", "north", "language", { "writer" } },
                      { "engine-3", "south", "language", { "writer" } },
                      { "engine-4", "south", "language", { "writer" } } };
-    sendAtEachEntry(spec);
+    sendToEachEntry(spec);
 }
 
-// The same prompt at all three instances at the same moment, as a caller sends it that wants the
-// first answer of several. Each began its copy on an engine of its own: three 507 lines on three
-// engines within a millisecond, and the first death (508, result 4) 12 ms later. Reports of deaths
-// come too late for that, however fast; one copy has to begin first.
+// Guards against the same when a caller sends the prompt to all three instances at the same moment
+// to use the first of several answers. Each instance began its copy on an engine of its own: three
+// 507 log lines on three engines within a millisecond, and the first crash (508, result 4) 12 ms
+// later. Reports of crashes come too late for that, however fast they are; one copy has to begin
+// first.
 TEST_F(CrashingRequestTest, SentAtThreeInstancesAtOnce)
 {
     TopologySpec spec;
     spec.entries = { { "north-1", "north" }, { "north-2", "north" }, { "north-3", "north" } };
     for (const auto *name : { "engine-1", "engine-2", "engine-3", "engine-4" })
         spec.servers.push_back({ name, "north", "language", { "writer" } });
-    sendAtEachEntry(spec, Order::AtOnce);
+    sendToEachEntry(spec, Order::AtOnce);
 }
 
 } // namespace
--- a/tests/proof/event_text.cpp
+++ b/tests/proof/event_text.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// What follows a field's name, for each line that has it.
+/// Returns the text after the field name for each line that begins with `name`.
 std::vector<std::string> fieldsOf(const std::string &body, std::string_view name)
 {
     std::vector<std::string> values;
--- a/tests/proof/event_text.hpp
+++ b/tests/proof/event_text.hpp
@@ -5,9 +5,9 @@
 
 namespace snipestall::harness {
 
-/// The pieces of a streamed answer, joined in the order in which they came.
+/// Joins the pieces of a streamed answer in the order in which they were received.
 std::string eventText(const std::string &body);
-/// The offsets that the events of a streamed answer carry, in order.
+/// Returns the offsets of the events of a streamed answer, in order.
 std::vector<int> eventOffsets(const std::string &body);
 std::vector<int> offsetsFrom(int first, int end);
 
--- a/tests/proof/leaving_test.cpp
+++ b/tests/proof/leaving_test.cpp
@@ -22,7 +22,8 @@
   - {name: chat, share: 1, model: writer, max_tokens: [8, 64]}
 )";
 
-/// A leaving backend server gets no new work after three seconds. Its own record judges.
+/// Tests that a leaving backend server gets no new work after three seconds, by the record that the
+/// server keeps.
 class LeavingTest : public TopologyTest
 {
 protected:
@@ -48,9 +49,10 @@
     }
 };
 
-// The cloud announces that it takes an engine, but the instance list lags half a minute and calls
-// it live all along. Load goes on. No attempt may begin on it later than three seconds after its
-// notice, and every call is answered by the others.
+// Guards against new work on a leaving engine: the cloud announces that it reclaims the engine, but
+// the instance list lags by 30 s and shows the engine as live all along, while the load goes on. No
+// attempt may begin on the engine later than three seconds after its notice, and the other engines
+// must answer every call.
 TEST_F(LeavingTest, TheListLagsAndCallsTheEngineLive)
 {
     start(spec());
@@ -65,9 +67,10 @@
     expectNothingNewAfterTheLimit();
 }
 
-// An instance dies, the engine's notice comes, and the instance is started again: all that it finds
-// is the list, which still calls the engine live. It must not send to it what the instance beside
-// knows to go elsewhere.
+// Guards against new work from an instance that started after the notice: an instance is killed,
+// the engine gets its notice, and the instance starts again. Its only source is the list, which
+// still shows the engine as live. It must not send to the engine, which the other instance knows to
+// be leaving.
 TEST_F(LeavingTest, TheListLagsAndAnInstanceStartedAfterTheNoticeKnowsNothingElse)
 {
     start(spec());
--- a/tests/proof/not_run_test.cpp
+++ b/tests/proof/not_run_test.cpp
@@ -28,11 +28,12 @@
     return request;
 }
 
-/// Refused as not run means not run. The engines' and the ledger services' own records judge.
+/// Tests that a request that was refused as not run did not run, by the records that the engines
+/// and the ledger services keep.
 class NotRunTest : public TopologyTest
 {
 protected:
-    /// Every instance has nothing left that it could still send.
+    /// Waits until no instance has a request left that it could still send.
     void waitUntilIdle()
     {
         const auto idle = [this](const EntrySpec &entry) {
@@ -48,8 +49,9 @@
         }));
     }
 
-    /// How many were refused as not run; each of them must be in no record.
-    int expectNotRunIsTrue(const Answers &answers)
+    /// Returns how many requests were refused as not run; expects that no record contains any of
+    /// them.
+    int expectRefusedDidNotRun(const Answers &answers)
     {
         waitUntilIdle();
         const load::Ledger ledger = topology().ledger();
@@ -87,9 +89,10 @@
     }
 };
 
-// A top-up is forwarded to the instance that owns the ledger's server, which is paused while it
-// relays it and while more are on their way to it. Their callers are answered at their deadlines,
-// then the owner wakes with calls in its hands. What was said to be not run must not run now.
+// Guards against running a request after it was refused as not run: a top-up is forwarded to the
+// owner of the backend server of the ledger. The owner is paused while it relays this top-up and
+// while more requests are on their way to it. Their callers are answered at their deadlines. Then
+// the owner resumes and still holds these requests.
 TEST_F(NotRunTest, TheOwnerIsFrozenWhileForwardsAreUnderWay)
 {
     constexpr int Deadline = 3000;
@@ -102,25 +105,26 @@
     const std::string owner = ownerOf("ledger-1");
     const std::string home = owner == "north-1" ? "north-2" : "north-1";
     std::vector<std::future<Answer>> calls;
-    calls.push_back(callLater(topology().callers(home), withDeadline(topUp("relayed"), Deadline)));
+    calls.push_back(callAsync(topology().callers(home), withDeadline(topUp("relayed"), Deadline)));
     ASSERT_TRUE(waitUntil([this] { return runsOf(topology().ledger(), "relayed") == 1; }));
     topology().process(owner).freeze();
     for (int i = 0; i < Calls; ++i) {
         const std::string name = "held-" + std::to_string(i);
-        calls.push_back(callLater(topology().callers(home), withDeadline(topUp(name), Deadline)));
-        calls.push_back(callLater(topology().callers(home),
+        calls.push_back(callAsync(topology().callers(home), withDeadline(topUp(name), Deadline)));
+        calls.push_back(callAsync(topology().callers(home),
                                   withDeadline(completion(name, 8, false), Deadline)));
     }
     const Answers answers = wait(calls);
     topology().process(owner).thaw();
-    expectNotRunIsTrue(answers);
+    expectRefusedDidNotRun(answers);
     EXPECT_FALSE(answers.front().notRun()) << answers.front().toString();
     for (int i = 0; i < Calls; ++i)
         EXPECT_LE(runsOf(topology().ledger(), "held-" + std::to_string(i)), 1);
 }
 
-// Far more callers than the engines have slots, each with a deadline that only the first ones can
-// meet, so that dispatches race their deadlines. Many are refused; no engine may have seen those.
+// Guards against refusing a request as not run after it was sent: there are far more callers than
+// the engines have slots, and only the first callers can meet their deadlines, so that dispatches
+// race with deadlines. Many requests are refused, and no engine may have received those.
 TEST_F(NotRunTest, SaturationWithShortDeadlines)
 {
     constexpr int Calls = 80;
@@ -139,17 +143,18 @@
         const auto &entry = entries[static_cast<std::size_t>(i) % entries.size()].name;
         const int deadline = 300 + 10 * i;
         auto request = i % 8 < 4 ? topUp(name) : completion(name, 24, false);
-        calls.push_back(callLater(topology().callers(entry), withDeadline(request, deadline)));
+        calls.push_back(callAsync(topology().callers(entry), withDeadline(request, deadline)));
     }
     const Answers answers = wait(calls);
-    EXPECT_GT(expectNotRunIsTrue(answers), 0);
+    EXPECT_GT(expectRefusedDidNotRun(answers), 0);
     EXPECT_TRUE(std::any_of(answers.begin(), answers.end(),
                             [](const Answer &answer) { return answer.completed(); }));
 }
 
-// The connections to the servers break after the first byte of a call has left, again and again,
-// and the services drop or cut calls that they have read. Whatever is then said to be not run must
-// be in no record, and a caller whose top-up was booked must not be told that it was not run.
+// Guards against a false answer "not run" after a broken connection: the connections to the servers
+// break repeatedly after the first byte of a call was sent, and the services drop or cut calls that
+// they have read. A request that is answered as not run must be in no record, and a caller whose
+// top-up was booked must not get the answer that it was not run.
 TEST_F(NotRunTest, ConnectionsAreCutAfterTheFirstByte)
 {
     constexpr int Rounds = 8;
@@ -169,7 +174,7 @@
         answers.push_back(
             call(topology().callers(entry), withDeadline(completion(name, 8, false), 2000)));
     }
-    expectNotRunIsTrue(answers);
+    expectRefusedDidNotRun(answers);
     EXPECT_TRUE(std::any_of(answers.begin(), answers.end(),
                             [](const Answer &answer) { return answer.outcome == "unknown"; }));
 }
--- a/tests/settings/settings_path_test.cpp
+++ b/tests/settings/settings_path_test.cpp
@@ -21,7 +21,7 @@
 constexpr int Ok = 0;
 constexpr int Refused = 1;
 
-/// Operators' commands as real processes against a real deployment.
+/// Runs the commands of operators as real processes against a real deployment.
 class SettingsPathTest : public TopologyTest
 {
 protected:
@@ -56,7 +56,7 @@
         return std::move(Process::start(std::move(process)).value());
     }
 
-    static int end(Process &process)
+    static int waitForExit(Process &process)
     {
         EXPECT_TRUE(waitUntil([&process] { return !process.running(); }));
         return process.exitStatus().value_or(-1);
@@ -65,7 +65,7 @@
     int run(const std::vector<std::string> &servers, std::vector<std::string> words)
     {
         const auto process = command(servers, std::move(words));
-        const int code = end(*process);
+        const int code = waitForExit(*process);
         m_output = process->log();
         return code;
     }
@@ -96,9 +96,10 @@
     int m_commands = 0;
 };
 
-// Two operators look at the same version and change the same weight at once, one in each data
-// centre, while the platform loses the answers of its writes. One of them must win and know it, the
-// other must be shown the winner's change, and every instance must end with the winner's value.
+// Guards against a lost change when two operators read the same version and change the same weight
+// at once, one in each data centre, while the platform loses the answers to its writes. One of them
+// must succeed and be informed of it, the other must be shown the change that succeeded, and every
+// instance must end with the value of that change.
 TEST_F(SettingsPathTest, OfTwoRacingOperatorsOneWinsAlthoughAnswersAreLost)
 {
     start(spec());
@@ -106,10 +107,10 @@
     topology().platformFaults(R"({"lose_answers":3})");
     const auto north = command({ "north-1", "north-2" }, { "set", Weight, "3", base });
     const auto south = command({ "south-1", "south-2" }, { "set", Weight, "5", base });
-    const int northEnd = end(*north);
-    const int southEnd = end(*south);
-    ASSERT_EQ(northEnd + southEnd, Ok + Refused) << north->log() << south->log();
-    const bool northWon = northEnd == Ok;
+    const int northExit = waitForExit(*north);
+    const int southExit = waitForExit(*south);
+    ASSERT_EQ(northExit + southExit, Ok + Refused) << north->log() << south->log();
+    const bool northWon = northExit == Ok;
     const std::string shown = northWon ? south->log() : north->log();
     EXPECT_THAT(shown, HasSubstr(northWon ? "(not set) -> 3" : "(not set) -> 5"));
     EXPECT_THAT(shown, HasSubstr("by tester"));
@@ -119,9 +120,10 @@
         EXPECT_THAT(weightAt(entry.name), HasSubstr(value)) << entry.name;
 }
 
-// One data centre is cut off from the platform. A change made in the other must still come into
-// force there, by way of its peers; and an instance there that dies and starts again must come back
-// with the change, not with an older version and not with none.
+// Guards against missing or older settings in a data centre that is cut off from the platform. A
+// change made in the other data centre must still come into force there, by way of its peers. An
+// instance there that is killed and starts again must come back with the change, not with an older
+// version and not without settings.
 TEST_F(SettingsPathTest, ADataCentreCutOffFromThePlatformFollowsAndNeverGoesBack)
 {
     start(spec());
@@ -139,8 +141,9 @@
     EXPECT_TRUE(inForceEverywhere(3));
 }
 
-// The instance that carries an operator's change dies when the change is in and its answer is not
-// yet out. The command must go on at the next instance and end with the truth: the change is in,
+// Guards against making a change twice, or reporting it as failed, when the instance that handles
+// an operator's change is killed after the change was stored and before its answer is sent. The
+// command must continue at the next instance and report the actual result: the change is stored
 // once, under its id.
 TEST_F(SettingsPathTest, AChangeWhoseInstanceDiesBeforeItsAnswerIsMadeOnce)
 {
@@ -164,7 +167,7 @@
     topology().process("north-1").kill();
     ASSERT_TRUE(change->running());
     answers.heal();
-    EXPECT_EQ(end(*change), Ok) << change->log();
+    EXPECT_EQ(waitForExit(*change), Ok) << change->log();
     ASSERT_EQ(run({ "north-2" }, { "audit", "--path", Weight, "--output=json" }), Ok) << m_output;
     const auto audit = admin::decodeAudit(m_output);
     ASSERT_TRUE(audit.has_value()) << m_output;
@@ -182,7 +185,7 @@
   - {name: ledger, share: 1, service: ledger, keyed_share: 1, non_idempotent_share: 1}
 )";
 
-/// Sum of a family's samples over every entry instance.
+/// Returns the sum of the samples of a metric family over every entry instance.
 double sumOf(Topology &topology, const std::string &family)
 {
     double sum = 0;
--- a/tests/store/store_on_standin_test.cpp
+++ b/tests/store/store_on_standin_test.cpp
@@ -25,8 +25,8 @@
     "[2c26b46b68ffc68ff99b453c1d30413413422d706483bfa0f98a5e886266e7ae]}}\n"
     "customers: {kiyi: {weight: 1}}\n";
 
-/// The store's parts over HTTP against a real process of the stand-in platform. Waits end when the
-/// state asked for is there; no verdict rests on how long they took.
+/// Tests the parts of the store over HTTP against a real process of the stand-in platform. Each
+/// wait ends when the expected state is reached; no result depends on how long it took.
 class StoreOnStandinTest : public testing::Test
 {
 protected:
@@ -86,8 +86,9 @@
     SystemClock m_clock;
 };
 
-// The table takes a claim and closes the connection without an answer. The claimer must find its
-// own row and go on; another claimer must find the key held.
+// Guards against a claim that stays unsettled when the table stores it and closes the connection
+// without an answer. The claimer must find its own row and go on, and another claimer must find the
+// key held.
 TEST_F(StoreOnStandinTest, ALostAnswerToAClaimIsSettled)
 {
     const auto platform = connect();
@@ -98,9 +99,10 @@
     EXPECT_EQ(claim(*keeper(*platform, "sinop-1"), "a2"), peer::ClaimVerdict::Held);
 }
 
-// The platform is paused with the claim's write in its socket. The caller is refused as not run;
-// woken, the platform carries the write out. The key must be free for the caller's repeat then, and
-// the write that came too late must not hold it.
+// Guards against a key that is held by a late write: the platform is paused while the write of the
+// claim is in its socket, and the caller is refused as not run. When the platform resumes, it
+// executes the write. The key must then be free for the caller's repeat, and the late write must
+// not hold it.
 TEST_F(StoreOnStandinTest, AWriteCarriedOutAfterAPauseOfThePlatformHoldsNothing)
 {
     const auto platform = connect();
@@ -123,9 +125,10 @@
     EXPECT_EQ(claim(*samsun, "a2"), peer::ClaimVerdict::Granted);
 }
 
-// The platform has been down for long, and every instance has claims waiting. Each trying on its
-// own as soon as it can would meet the platform, just back, with all of them at once. Each instance
-// comes with a probe and then its claims in one batch.
+// Guards against a burst of claims on a platform that has just recovered. It has been down for
+// long, and every instance has claims waiting; if each claim were retried on its own as soon as
+// possible, the platform would receive all of them at once. Instead, each instance must send a
+// probe and then its claims in one batch.
 TEST_F(StoreOnStandinTest, ARecoveringPlatformMeetsBatchesAndNoBurst)
 {
     constexpr int Instances = 8;
@@ -145,7 +148,7 @@
             outcomes.push_back(startTask(m_io, keepers.back()->claim(std::move(request))));
         }
     }
-    // Long enough for each instance's circuit to have opened and probed.
+    // Waits long enough for the circuit of each instance to have opened and probed.
     runUntil(m_io, [&] {
         return std::ranges::all_of(platforms,
                                    [](const auto &each) { return each->counters().failures >= 5; });
@@ -164,8 +167,8 @@
     EXPECT_LE(transactions, 2 * Instances);
 }
 
-// An operator's change is taken and its answer lost, and the client repeats it after another
-// change.
+// Guards against making a change twice: a change is stored and its answer is lost, and the client
+// repeats the change after another change.
 TEST_F(StoreOnStandinTest, ASettingsChangeTakesEffectOnce)
 {
     const auto platform = connect();
@@ -184,8 +187,9 @@
     EXPECT_EQ(audit->front().changeId, "c2");
 }
 
-// The platform is paused for longer than the lease: the steward must stop giving orders by itself,
-// and go on under its number, or its successor's, when the platform is back.
+// Guards against orders from a steward whose lease has expired: the platform is paused for longer
+// than the lease. The steward must stop giving orders by itself, and continue under its fencing
+// token, or that of its successor, when the platform resumes.
 TEST_F(StoreOnStandinTest, AStewardWithoutThePlatformGivesNoOrders)
 {
     const auto platform = connect();
