--- a/apps/snipestall_load/ledger.cpp
+++ b/apps/snipestall_load/ledger.cpp
@@ -9,7 +9,7 @@
 
 namespace json = boost::json;
 using standins::arrayField;
-using standins::numberField;
+using standins::integerField;
 using standins::parseObject;
 using standins::textField;
 
@@ -20,18 +20,19 @@
     LedgerAttempt attempt;
     attempt.request = textField(object, "request");
     attempt.attempt = textField(object, "attempt");
-    attempt.from = numberField(object, "from");
-    attempt.produced = numberField(object, "produced");
-    attempt.prefilled = numberField(object, "prefilled");
+    attempt.from = integerField(object, "from");
+    attempt.produced = integerField(object, "produced");
+    attempt.prefilled = integerField(object, "prefilled");
     attempt.ended = textField(object, "ended");
     if (object.contains("after_notice_ms"))
-        attempt.afterNoticeMs = numberField(object, "after_notice_ms");
+        attempt.afterNoticeMs = integerField(object, "after_notice_ms");
     return attempt;
 }
 
 LedgerRun readRun(const json::object &object)
 {
-    return { textField(object, "key"), textField(object, "request"), numberField(object, "count") };
+    return { textField(object, "key"), textField(object, "request"),
+             integerField(object, "count") };
 }
 
 } // namespace
--- a/standins/common/json_fields.cpp
+++ b/standins/common/json_fields.cpp
@@ -37,8 +37,8 @@
     return std::string(value->as_string());
 }
 
-std::int64_t numberField(const json::object &object, std::string_view name,
-                         std::int64_t defaultValue)
+std::int64_t integerField(const json::object &object, std::string_view name,
+                          std::int64_t defaultValue)
 {
     const json::value *value = object.if_contains(name);
     if (value == nullptr)
@@ -75,7 +75,7 @@
 std::chrono::milliseconds millisecondsField(const json::object &object, std::string_view name,
                                             std::chrono::milliseconds defaultValue)
 {
-    return std::chrono::milliseconds(numberField(object, name, defaultValue.count()));
+    return std::chrono::milliseconds(integerField(object, name, defaultValue.count()));
 }
 
 json::array arrayField(const json::object &object, std::string_view name)
--- a/standins/common/json_fields.hpp
+++ b/standins/common/json_fields.hpp
@@ -17,8 +17,8 @@
 // std::invalid_argument if the field has another type.
 std::string textField(const boost::json::object &object, std::string_view name,
                       std::string_view defaultValue = {});
-std::int64_t numberField(const boost::json::object &object, std::string_view name,
-                         std::int64_t defaultValue = 0);
+std::int64_t integerField(const boost::json::object &object, std::string_view name,
+                          std::int64_t defaultValue = 0);
 double realField(const boost::json::object &object, std::string_view name, double defaultValue);
 bool flagField(const boost::json::object &object, std::string_view name, bool defaultValue = false);
 std::chrono::milliseconds millisecondsField(const boost::json::object &object,
--- a/standins/engine/engine.cpp
+++ b/standins/engine/engine.cpp
@@ -108,9 +108,9 @@
     attempt->prompt = textField(body, "prompt");
     attempt->promptHash = promptHash(attempt->prompt);
     attempt->promptTokens = promptTokens(attempt->prompt);
-    attempt->maxTokens = numberField(body, "max_tokens", DefaultMaxTokens);
-    attempt->from = numberField(body, "resume_from");
-    attempt->priority = numberField(body, "priority");
+    attempt->maxTokens = integerField(body, "max_tokens", DefaultMaxTokens);
+    attempt->from = integerField(body, "resume_from");
+    attempt->priority = integerField(body, "priority");
     attempt->kvHandle = textField(body, "kv");
     attempt->arrived = std::chrono::system_clock::now();
     if (m_noticedAt) {
@@ -250,12 +250,12 @@
     if (!answer || answer->status != 200)
         co_return;
     const auto kv = parseObject(answer->body);
-    if (numberField(kv, "prompt_hash") != attempt->promptHash)
+    if (integerField(kv, "prompt_hash") != attempt->promptHash)
         co_return;
     asio::steady_timer transfer(m_io, m_options.importTime);
     co_await transfer.async_wait(asio::as_tuple(asio::use_awaitable));
     const std::int64_t needed = attempt->promptTokens + attempt->from;
-    attempt->kvTokens = std::min(numberField(kv, "tokens"), needed);
+    attempt->kvTokens = std::min(integerField(kv, "tokens"), needed);
 }
 
 } // namespace snipestall::standins
--- a/standins/engine/engine_control.cpp
+++ b/standins/engine/engine_control.cpp
@@ -57,9 +57,9 @@
 {
     failFast = flagField(body, "fail_fast", failFast);
     ignoreCancel = flagField(body, "ignore_cancel", ignoreCancel);
-    strangerAnswers = numberField(body, "stranger_answers", strangerAnswers);
-    cutAnswers = numberField(body, "cut_answers", cutAnswers);
-    cutAfterTokens = numberField(body, "cut_after_tokens", cutAfterTokens);
+    strangerAnswers = integerField(body, "stranger_answers", strangerAnswers);
+    cutAnswers = integerField(body, "cut_answers", cutAnswers);
+    cutAfterTokens = integerField(body, "cut_after_tokens", cutAfterTokens);
     crashMarker = textField(body, "crash_marker", crashMarker);
 }
 
--- a/standins/engine/order_log.cpp
+++ b/standins/engine/order_log.cpp
@@ -11,7 +11,7 @@
 {
     Order order;
     order.id = textField(body, "order");
-    order.fencing = static_cast<std::uint64_t>(numberField(body, "fencing"));
+    order.fencing = static_cast<std::uint64_t>(integerField(body, "fencing"));
     order.kind = textField(body, "kind");
     order.model = textField(body, "model");
     order.role = textField(body, "role");
--- a/standins/platform/platform.cpp
+++ b/standins/platform/platform.cpp
@@ -134,7 +134,7 @@
     if (wait.count() > 0)
         co_await wire::sleepFor(wait);
     ++m_counters.scans;
-    const auto limit = numberField(body, "limit", DefaultScanLimit);
+    const auto limit = integerField(body, "limit", DefaultScanLimit);
     const auto rows = m_table.scan(textField(body, "table"), textField(body, "prefix"),
                                    textField(body, "after"), static_cast<std::size_t>(limit));
     json::object answer;
@@ -199,7 +199,7 @@
 {
     const auto body = parseObject(request.body);
     const std::string name = textField(body, "instance");
-    const auto fencing = static_cast<std::uint64_t>(numberField(body, "fencing"));
+    const auto fencing = static_cast<std::uint64_t>(integerField(body, "fencing"));
     if (!m_cloud.acceptFencing(m_cloud.dataCentreOf(name), fencing))
         return errorResponse(409, "outdated fencing token; a newer one has been seen");
     if (!m_cloud.release(now(), name))
--- a/standins/platform/platform_faults.cpp
+++ b/standins/platform/platform_faults.cpp
@@ -45,7 +45,7 @@
     }
     changed.slow = millisecondsField(body, "slow_ms", slow);
     changed.listLag = millisecondsField(body, "list_lag_ms", listLag);
-    changed.loseAnswers = numberField(body, "lose_answers", loseAnswers);
+    changed.loseAnswers = integerField(body, "lose_answers", loseAnswers);
     changed.refuseStarts = flagField(body, "refuse_starts", refuseStarts);
     *this = changed;
 }
--- a/standins/platform/platform_json.cpp
+++ b/standins/platform/platform_json.cpp
@@ -26,7 +26,7 @@
 
 std::uint64_t unsignedField(const json::object &object, std::string_view name)
 {
-    return static_cast<std::uint64_t>(numberField(object, name));
+    return static_cast<std::uint64_t>(integerField(object, name));
 }
 
 } // namespace
--- a/standins/proxy/fault_state.cpp
+++ b/standins/proxy/fault_state.cpp
@@ -41,7 +41,7 @@
 /// A negative number cancels the requested cut.
 std::optional<std::size_t> bytesField(const boost::json::object &body, std::string_view name)
 {
-    const std::int64_t bytes = numberField(body, name, -1);
+    const std::int64_t bytes = integerField(body, name, -1);
     return bytes < 0 ? std::nullopt : std::optional<std::size_t>(bytes);
 }
 
--- a/standins/service/ledger_service.cpp
+++ b/standins/service/ledger_service.cpp
@@ -122,9 +122,9 @@
 HttpResponse LedgerService::control(const HttpRequest &request)
 {
     const auto body = parseObject(request.body);
-    m_answersToCut = numberField(body, "cut_next_answers", m_answersToCut);
-    m_callsToDrop = numberField(body, "drop_next_calls", m_callsToDrop);
-    m_strangerAnswers = numberField(body, "stranger_answers", m_strangerAnswers);
+    m_answersToCut = integerField(body, "cut_next_answers", m_answersToCut);
+    m_callsToDrop = integerField(body, "drop_next_calls", m_callsToDrop);
+    m_strangerAnswers = integerField(body, "stranger_answers", m_strangerAnswers);
     m_options.work = millisecondsField(body, "work_ms", m_options.work);
     return noContent();
 }
--- a/tests/harness/scenario/action_reader.cpp
+++ b/tests/harness/scenario/action_reader.cpp
@@ -146,7 +146,7 @@
 Action readPlatform(const YAML::Node &node, const std::string &, Faults &)
 {
     const std::string body = toJson(node);
-    return [body](ScenarioContext &context) { context.topology().platformFaults(body); };
+    return [body](ScenarioContext &context) { context.topology().setPlatformFaults(body); };
 }
 
 /// Form: {server: NAME, with: body of POST /control}
--- a/tests/harness/topology.hpp
+++ b/tests/harness/topology.hpp
@@ -67,7 +67,7 @@
     void waitForService();
     void waitForService(const std::string &entry);
 
-    void platformFaults(const std::string &faults) const;
+    void setPlatformFaults(const std::string &faults) const;
     [[nodiscard]] std::int64_t platformCounter(const std::string &name) const;
     void giveNotice(const std::string &name, std::chrono::milliseconds notice) const;
     void controlServer(const std::string &name, const std::string &body) const;
--- a/tests/harness/topology_control.cpp
+++ b/tests/harness/topology_control.cpp
@@ -200,7 +200,7 @@
         link.heal();
 }
 
-void Topology::platformFaults(const std::string &faults) const
+void Topology::setPlatformFaults(const std::string &faults) const
 {
     const auto response = httpPost(platform(), "/control/faults", faults);
     if (!response || response->status != 204)
--- a/tests/proof/at_most_once_test.cpp
+++ b/tests/proof/at_most_once_test.cpp
@@ -175,7 +175,7 @@
 TEST_F(AtMostOnceTest, ThePlatformIsDownAndTheTopUpIsRefusedAndNotRun)
 {
     start(TopologySpec::small());
-    topology().platformFaults(R"({"table":"down"})");
+    topology().setPlatformFaults(R"({"table":"down"})");
     std::vector<Answer> answers;
     for (const auto *entry : { "north-1", "south-1" })
         answers.push_back(topUpAt(entry, "outage"));
@@ -184,7 +184,7 @@
         EXPECT_FALSE(answer.retryAfter.empty()) << answer.toString();
     }
     EXPECT_EQ(runs("outage"), 0);
-    topology().platformFaults(R"({"table":"up"})");
+    topology().setPlatformFaults(R"({"table":"up"})");
     EXPECT_TRUE(waitUntil([this] { return topUpAt("south-1", "outage").completed(); }));
     EXPECT_TRUE(topUpAt("north-1", "outage").completed());
     EXPECT_EQ(runs("outage"), 1);
--- a/tests/proof/leaving_test.cpp
+++ b/tests/proof/leaving_test.cpp
@@ -56,7 +56,7 @@
 TEST_F(LeavingTest, TheListLagsAndCallsTheEngineLive)
 {
     start(spec());
-    topology().platformFaults(LaggingList);
+    topology().setPlatformFaults(LaggingList);
     const std::size_t before = attempts(Leaving);
     const auto load = topology().startLoad(Mix);
     ASSERT_TRUE(waitUntil([&] { return attempts(Leaving) > before + 5; }));
@@ -74,7 +74,7 @@
 TEST_F(LeavingTest, TheListLagsAndAnInstanceStartedAfterTheNoticeKnowsNothingElse)
 {
     start(spec());
-    topology().platformFaults(LaggingList);
+    topology().setPlatformFaults(LaggingList);
     topology().process("north-2").kill();
     const auto load = topology().startLoad(Mix);
     const std::size_t before = attempts(Leaving);
--- a/tests/settings/settings_path_test.cpp
+++ b/tests/settings/settings_path_test.cpp
@@ -104,7 +104,7 @@
 {
     start(spec());
     const std::string base = "--base_version=" + std::to_string(versionAt("north-1"));
-    topology().platformFaults(R"({"lose_answers":3})");
+    topology().setPlatformFaults(R"({"lose_answers":3})");
     const auto north = command({ "north-1", "north-2" }, { "set", Weight, "3", base });
     const auto south = command({ "south-1", "south-2" }, { "set", Weight, "5", base });
     const int northExit = waitForExit(*north);
