--- a/include/snipestall/gateway/gateway.hpp
+++ b/include/snipestall/gateway/gateway.hpp
@@ -22,7 +22,11 @@
     /// Shuts down gracefully: reports that it is not ready, finishes the running requests and stops
     /// the loop.
     void drain();
-    /// Takes over the bounds of changed settings. No restart is needed.
+    /// Takes over the bounds of a changed settings file. Only `grace` (until drain() is called) and
+    /// `contact`, which are read when they are used, take effect. The server table, the quotas, the
+    /// retries, the usage windows, the expiry window and the duty lease copied their bounds when
+    /// they were constructed, so all other bounds need a restart, as do all other settings. A
+    /// faulty file doesn't get here: the caller logs its faults and the earlier bounds stay.
     void settingsChanged(const GatewaySettings &settings);
 
 private:
--- a/src/snipestall/entry/refusal_test.cpp
+++ b/src/snipestall/entry/refusal_test.cpp
@@ -34,8 +34,8 @@
 // Guards against a stream that stops in the middle and never continues. Its server was reclaimed,
 // its home forwarded it with the offset reached, and the peer, which had no capacity and sent
 // nothing, answered `failed` because the home had sent bytes. Three such answers within 0.2 s used
-// up all forwards of the request (request 508 ended three attempts on one peer with result 3 and
-// then had no further log line).
+// up all forwards of the request (the log showed event 508, attempt-ended, with result 3 three
+// times from one peer, and then no further line for the request).
 TEST_F(RefusalTest, APeerThatSentNothingAnswersNotRun)
 {
     const RequestPtr request = forwardedAfterAttemptAtHome();
