--- a/cmake/modules.cmake
+++ b/cmake/modules.cmake
@@ -1,11 +1,13 @@
 add_compile_definitions(BOOST_ASIO_NO_DEPRECATED ELPP_NO_DEFAULT_LOG_FILE ELPP_THREAD_SAFE)
-# GCC 12 with -O3 reports overlapping copies inside std::string that can't happen (its bug 105651).
-# GCC 12 takes the frame allocator of asio's awaitable for a mismatched pair.
+# -Wno-restrict: GCC 12 with -O3 reports overlapping copies inside std::string that can't happen (GCC
+# bug 105651).
+# -Wno-mismatched-new-delete: GCC 12 reports the frame allocator of asio's awaitable as a mismatched
+# pair of new and delete.
 set(SNIPESTALL_WARNINGS -Wall -Wextra -Wpedantic -Werror -Wno-error=maybe-uninitialized
   -Wno-mismatched-new-delete -Wno-restrict)
 
-# snipestall_module(NAME LIBS...): one target a module, from src/snipestall/NAME/*.cpp; its
-# *_test.cpp files make the test program NAME_test.
+# snipestall_module(NAME LIBS...): adds the library snipestall_NAME from src/snipestall/NAME/*.cpp, and
+# the test program NAME_test from its *_test.cpp files.
 function(snipestall_module name)
   file(GLOB sources CONFIGURE_DEPENDS ${CMAKE_SOURCE_DIR}/src/snipestall/${name}/*.cpp)
   set(tests ${sources})
@@ -28,7 +30,7 @@
   endif()
 endfunction()
 
-# snipestall_test(NAME LABEL LIB SOURCES...): a GoogleTest program.
+# snipestall_test(NAME LABEL LIB SOURCES...): adds a GoogleTest program as a test with this label.
 function(snipestall_test name label lib)
   if(SNIPESTALL_GATEWAY_ONLY)
     return()
@@ -42,7 +44,7 @@
   set_tests_properties(${name} PROPERTIES LABELS ${label} TIMEOUT 300)
 endfunction()
 
-# snipestall_program(NAME LIBS... ): DIR/NAME*.cpp files become the program NAME.
+# snipestall_program(NAME SOURCES sources... LIBS libraries...): adds the program bin/NAME.
 function(snipestall_program name)
   cmake_parse_arguments(arg "" "" "SOURCES;LIBS" ${ARGN})
   add_executable(${name} ${arg_SOURCES})
--- a/scripts/build_inventory.py
+++ b/scripts/build_inventory.py
@@ -1,12 +1,13 @@
 #!/usr/bin/env python3
 """Lists every system file that the build of deploy/system.toml uses, with the package it belongs to.
 
-The build runs in a fresh checkout, without root, a home directory or network access. Each line of the
-output: KIND, PATH and PACKAGE, separated by tabs. Kinds:
+The build runs in a clean copy of the working tree, as an unprivileged user without a home directory, and
+with proxy settings that make downloads fail. Each line of the output holds KIND, PATH and PACKAGE,
+separated by tabs. Kinds:
 
-  include   a header that a source of this project includes itself
-  header    a header that comes in through another one
-  cmake     a file that cmake reads or requires while it configures
+  include   a header that a source of this project includes directly
+  header    a header that is included only indirectly
+  cmake     a file that cmake reads or requires during configuration
   library   a library or object that the linker reads or the program loads
   program   a program that the build runs
 
@@ -28,7 +29,7 @@
 
 UNPRIVILEGED_USER = "nobody"
 SYSTEM_PATH = "/usr/sbin:/usr/bin:/sbin:/bin"
-# Nothing listens here, so that a download through a proxy fails at once.
+# No process listens on this port, so a download through a proxy fails at once.
 CLOSED_PROXY = "http://127.0.0.1:9"
 TARGET_DIR = "target"
 READ_COMMANDS = {"configure_file", "execute_process", "file"}
@@ -69,9 +70,9 @@
         wrapper.chmod(0o755)
         self._execute(["/bin/sh", "-c", command], path=f"{self.wrappers}:{SYSTEM_PATH}", stdout=sys.stderr)
 
-    def output(self, command):
-        done = self._execute(command, path=SYSTEM_PATH, stdout=subprocess.PIPE)
-        return done.stdout
+    def capture_output(self, command):
+        completed = self._execute(command, path=SYSTEM_PATH, stdout=subprocess.PIPE)
+        return completed.stdout
 
     def _execute(self, command, path, stdout):
         environment = {"PATH": path, "HOME": "/nonexistent", "LC_ALL": "C"}
@@ -83,7 +84,7 @@
 
 
 def copy_checkout(repository, destination):
-    """Copies the files that git tracks, or would track, as they are in the working tree."""
+    """Copies the working tree's tracked files, and the untracked files that git doesn't ignore."""
     listed = subprocess.run(["git", "ls-files", "-z", "--cached", "--others", "--exclude-standard"],
                             cwd=repository, capture_output=True, text=True, check=True).stdout
     for name in filter(None, listed.split("\0")):
@@ -95,7 +96,7 @@
         shutil.copy2(source, copy)
 
 
-def give_to_unprivileged_user(directory):
+def change_owner_to_unprivileged_user(directory):
     if os.geteuid() != 0:
         return
     owner = pwd.getpwnam(UNPRIVILEGED_USER).pw_uid
@@ -109,7 +110,8 @@
 
 
 def cmake_files(trace):
-    """Files that cmake reads, and those whose absence would stop it, from its own trace."""
+    """Returns two sets from cmake's trace: the files that it reads or whose absence would stop it, and the
+    files that execute_process names."""
     read = set()
     run = set()
     for line in trace.read_text().splitlines():
@@ -130,22 +132,23 @@
 
 
 def compiled_files(build):
-    """Sources of this project and all headers that they were compiled with."""
-    return {line.strip() for line in build.output(["ninja", "-C", TARGET_DIR, "-t", "deps"]).splitlines()
+    """Returns the project's sources and all headers that they were compiled with."""
+    return {line.strip()
+            for line in build.capture_output(["ninja", "-C", TARGET_DIR, "-t", "deps"]).splitlines()
             if line.startswith(" ")}
 
 
 def search_directories(compiler):
-    """Where the compiler looks for `#include <...>`, in its order."""
+    """Returns the compiler's search path for `#include <...>`, in order."""
     verbose = subprocess.run([compiler, "-x", "c++", "-E", "-v", "/dev/null"], capture_output=True,
                              text=True, check=True).stderr
-    listed = verbose.partition("search starts here:\n")[2].partition("End of search list.")[0]
-    lines = [line.strip() for line in listed.splitlines() if line.startswith(" ")]
+    search_list = verbose.partition("search starts here:\n")[2].partition("End of search list.")[0]
+    lines = [line.strip() for line in search_list.splitlines() if line.startswith(" ")]
     return [os.path.normpath(line) for line in lines]
 
 
 def included_headers(own_sources, system_headers, directories):
-    """The system headers that sources of this project name in their own include lines."""
+    """Returns the system headers that sources of this project include directly."""
     names = set()
     for path in own_sources:
         names |= set(INCLUDE_LINE.findall(pathlib.Path(path).read_text(errors="replace")))
@@ -157,36 +160,39 @@
 
 
 def linked_files(build, link_command):
-    """What the linker reads when the program is linked once more, and what the program loads."""
+    """Relinks the program with --trace; returns the files that the linker reads and those that the program
+    loads."""
     words = shlex.split(link_command.replace(": && ", "").removesuffix(" && :"))
-    output = words.index("-o") + 1
-    program = build.target / words[output]
-    words[output] = str(build.target / "traced_link")
+    output_index = words.index("-o") + 1
+    program = build.target / words[output_index]
+    words[output_index] = str(build.target / "traced_link")
     trace = subprocess.run([*words, "-Wl,--trace"], cwd=build.target, capture_output=True, text=True,
                            check=True).stdout.splitlines()
-    loaded = re.findall(r"(/\S+) \(0x", build.output(["ldd", str(program)]))
+    loaded = re.findall(r"(/\S+) \(0x", build.capture_output(["ldd", str(program)]))
     return existing_files([line.split("(")[0].strip() for line in trace] + loaded)
 
 
 def compiler_programs(command):
-    """Programs that the compiler starts: it prints them instead of running them."""
+    """Returns the programs that the compiler would start; -### prints the commands without running them."""
     verbose = subprocess.run([*shlex.split(command), "-###"], capture_output=True, text=True,
                              check=True).stderr
     return existing_files([match[1] for match in map(QUOTED_WORD.match, verbose.splitlines()) if match])
 
 
 def programs(commands, compiler):
-    """Programs that the build's commands name, what runs the commands, and what the compiler starts."""
+    """Returns the programs that the build's commands name, the shell and ninja that run the commands, and the
+    programs that the compiler starts."""
     words = existing_files(word for line in commands for word in shlex.split(line))
     named = {word for word in words if os.access(word, os.X_OK) and ".so" not in word}
-    empty = ["-x", "c++", "/dev/null"]
-    started = compiler_programs(shlex.join([compiler, "-c", *empty]))
-    started |= compiler_programs(shlex.join([compiler, *empty]))
-    return named | started | {"/bin/sh", shutil.which("ninja", path=SYSTEM_PATH)}
+    empty_source = ["-x", "c++", "/dev/null"]
+    compiler_started = compiler_programs(shlex.join([compiler, "-c", *empty_source]))
+    compiler_started |= compiler_programs(shlex.join([compiler, *empty_source]))
+    return named | compiler_started | {"/bin/sh", shutil.which("ninja", path=SYSTEM_PATH)}
 
 
 def libraries(build, commands):
-    """What the build's commands name beside programs, and what the linker adds to it."""
+    """Returns the other files that the build's commands name, and those that the linker reads or the program
+    loads."""
     words = existing_files(word for line in commands for word in shlex.split(line))
     named = {word for word in words if ".so" in word or not os.access(word, os.X_OK)}
     linked = [linked_files(build, line) for line in commands if " -o bin/" in line]
@@ -197,7 +203,7 @@
     sources = {os.path.normpath(path) for path in compiled_files(build)}
     own_sources = {path for path in sources if path.startswith(f"{build.checkout}/")}
     headers = sources - own_sources
-    commands = build.output(["ninja", "-C", TARGET_DIR, "-t", "commands"]).splitlines()
+    commands = build.capture_output(["ninja", "-C", TARGET_DIR, "-t", "commands"]).splitlines()
     compiler = shlex.split(commands[0])[0]
     included = included_headers(own_sources, headers, search_directories(compiler))
     read, run = cmake_files(build.trace)
@@ -208,8 +214,9 @@
             if not path.startswith(prefix)]
 
 
-def spellings(path):
-    """The path, what it links to, and both as they stand with and without a merged /usr."""
+def path_aliases(path):
+    """Returns [name, alias] pairs of the path and its link target. The alias adds or drops /usr, because a
+    merged /usr makes both spellings refer to one file."""
     found = []
     for name in dict.fromkeys([path, os.path.realpath(path)]):
         found.append([name, name.removeprefix("/usr") if name.startswith("/usr/") else f"/usr{name}"])
@@ -218,10 +225,10 @@
 
 def owners(paths):
     """Maps each path that a package owns to the name of that package."""
-    asked = sorted({name for path in paths for pair in spellings(path) for name in pair})
-    listed = subprocess.run(["dpkg-query", "--search", *asked], capture_output=True, text=True).stdout
+    queried = sorted({name for path in paths for pair in path_aliases(path) for name in pair})
+    listing = subprocess.run(["dpkg-query", "--search", *queried], capture_output=True, text=True).stdout
     owner = {}
-    for line in listed.splitlines():
+    for line in listing.splitlines():
         package, _, path = line.partition(": ")
         if not package.startswith("diversion by"):
             owner[path] = package.split(",")[0].split(":")[0]
@@ -229,11 +236,11 @@
 
 
 def with_packages(files):
-    """Both a link and the file that it leads to are used, and may belong to different packages."""
+    """Fills in the packages. A link and its target both count as used, and may belong to different ones."""
     owner = owners({file.path for file in files})
     owned = set()
     for file in files:
-        packages = {owner[name] for pair in spellings(file.path) for name in pair if name in owner}
+        packages = {owner[name] for pair in path_aliases(file.path) for name in pair if name in owner}
         owned |= {dataclasses.replace(file, package=package) for package in packages or {"-"}}
     return sorted(owned)
 
@@ -245,7 +252,7 @@
         work.chmod(0o755)
         build = Build(work / "checkout", work)
         copy_checkout(repository, build.checkout)
-        give_to_unprivileged_user(work)
+        change_owner_to_unprivileged_user(work)
         build.run(command)
         return with_packages(used_files(build))
 
--- a/scripts/check_build.sh
+++ b/scripts/check_build.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds as deploy/system.toml says, in a fresh checkout, and fails if that uses a system package that
-# isn't listed there.
+# Runs the build command of deploy/system.toml in a clean copy of the working tree. Fails if the
+# build uses a system package that the file neither lists nor pulls in as a dependency.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 python3 tests/build/check_packages_test.py
--- a/scripts/check_generated.sh
+++ b/scripts/check_generated.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Fails if the committed generated code differs from what its .proto gives. Pass --write to renew it.
+# Fails if the committed generated code differs from the output of protoc. Pass --write to regenerate it.
 set -euo pipefail
 cd "$(dirname "$0")/../proto"
 out=../src/generated
--- a/scripts/check_packages.py
+++ b/scripts/check_packages.py
@@ -1,10 +1,11 @@
 #!/usr/bin/env python3
-"""Fails if the build uses a file of a system package that deploy/system.toml doesn't bring along.
+"""Fails if the build uses a file of a system package that deploy/system.toml doesn't provide.
 
-Reads the list that build_inventory.py writes. A package comes along if it is listed under `packages`,
-if a listed one depends on it, or if it is essential to Debian. Recommended packages don't count: they
-are left out on a machine that installs the list alone. What a source includes itself has to come from a
-listed package, or from the compiler, so that it stays when another package drops a dependency.
+Reads the list that build_inventory.py writes. A package is provided if it is listed under `packages`, if
+a listed package depends on it, directly or indirectly, or if it is essential to Debian. Recommended
+packages don't count, because a machine that installs only the list doesn't have them. A header that a
+source includes directly must come from a listed package, or from the compiler, so that the build doesn't
+break when another package drops a dependency.
 """
 import argparse
 import dataclasses
@@ -19,8 +20,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Installed:
-    """What dpkg knows of one installed package. Each dependency is a list of alternatives."""
+class InstalledPackage:
+    """dpkg's record of an installed package. Each dependency is a tuple of alternatives."""
     name: str
     essential: bool
     provides: tuple[str, ...]
@@ -28,14 +29,14 @@
 
 
 def names_in(field):
-    """Package names of a dependency field, without versions and architectures."""
+    """Returns the package names in items of a dependency field, without versions and architectures."""
     return tuple(re.split(r"[\s(:\[]", item.strip(), maxsplit=1)[0] for item in field if item.strip())
 
 
 def parse_installed(line):
     name, essential, provides, dependencies = line.split("\t")
     groups = tuple(names_in(group.split("|")) for group in dependencies.split(",") if group.strip())
-    return Installed(name, essential == "yes", names_in(provides.split(",")), groups)
+    return InstalledPackage(name, essential == "yes", names_in(provides.split(",")), groups)
 
 
 def installed_packages():
@@ -47,9 +48,10 @@
 
 
 def closure(roots, installed):
-    """The packages that apt installs for these without recommended ones.
+    """Returns the packages that apt installs for the roots, without recommended ones.
 
-    apt takes the first alternative of a dependency, so later ones count only where it is not there.
+    apt takes the first alternative of a dependency, so a later one counts only if no earlier one is
+    installed or provided.
     """
     by_name = {package.name: package for package in installed}
     providers = {}
@@ -57,30 +59,30 @@
         for name in package.provides:
             providers.setdefault(name, package.name)
     found = set()
-    waiting = list(roots)
-    while waiting:
-        name = waiting.pop()
+    pending = list(roots)
+    while pending:
+        name = pending.pop()
         name = name if name in by_name else providers.get(name)
         if name is None or name in found:
             continue
         found.add(name)
         for alternatives in by_name[name].dependencies:
-            there = [other for other in alternatives if other in by_name or other in providers]
-            waiting += there[:1]
+            available = [other for other in alternatives if other in by_name or other in providers]
+            pending += available[:1]
     return found
 
 
 def missing_packages(inventory, listed, installed):
-    """Maps each package that is used and doesn't come along to (reason, paths)."""
+    """Maps (package, reason) to the used paths of each package that has to be listed but isn't."""
     essential = [package.name for package in installed if package.essential]
-    along = closure([*listed, *essential], installed)
-    direct = set(listed) | closure([COMPILER_PACKAGE], installed)
+    provided = closure([*listed, *essential], installed)
+    includable = set(listed) | closure([COMPILER_PACKAGE], installed)
     missing = {}
     for kind, path, package in inventory:
-        if package not in along:
+        if package not in provided:
             reason = "isn't listed, and no listed package depends on it"
-        elif kind == "include" and package not in direct:
-            reason = "is included by a source of this project, but not listed itself"
+        elif kind == "include" and package not in includable:
+            reason = "is included directly by a source of this project, but isn't listed"
         else:
             continue
         missing.setdefault((package, reason), []).append(path)
@@ -90,7 +92,7 @@
 def main():
     parser = argparse.ArgumentParser(description=__doc__,
                                      formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("inventory", type=pathlib.Path, help="what build_inventory.py wrote")
+    parser.add_argument("inventory", type=pathlib.Path, help="output file of build_inventory.py")
     parser.add_argument("--without", metavar="PACKAGE", action="append", default=[],
                         help="checks as if deploy/system.toml didn't list this package")
     arguments = parser.parse_args()
@@ -102,8 +104,8 @@
     for (package, reason), paths in sorted(missing.items()):
         owner = "a file that no package owns" if package == "-" else package
         examples = ", ".join(sorted(paths)[:EXAMPLES_PER_PACKAGE])
-        print(f"{owner} {reason}: {examples} ({len(paths)} in all). "
-              "Add it to `packages` of deploy/system.toml or drop what uses it.")
+        print(f"{owner} {reason}: {examples} ({len(paths)} in total). "
+              "Add it to `packages` of deploy/system.toml or remove its uses.")
     if not missing:
         print(f"packages of the build: ok ({len(inventory)} files, {len(listed)} packages listed)")
     sys.exit(1 if missing else 0)
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The whole path on one machine: installs, builds, starts a stand-in platform, two data centres with
-# two entry instances each, three engines and one ledger service on loopback; applies the settings,
-# sends requests down the path, changes a setting, and stops everything it started.
+# Runs a small deployment on this machine: installs, builds, starts a stand-in platform, two data
+# centres with two entry instances each, three engines and one ledger service on loopback; applies the
+# settings, sends requests to the entry instances, changes a setting, and stops everything it started.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 root=$PWD
@@ -17,19 +17,19 @@
 }
 trap stop_all EXIT
 
-say() { printf '\n== %s\n' "$*"; }
+print_step() { printf '\n== %s\n' "$*"; }
 start() {
     local name=$1
     shift
     "$@" >"$work/$name.log" 2>&1 &
     pids+=("$!")
 }
-# Waits until a command succeeds; gives up after a minute.
+# Retries a command every 0.2 s until it succeeds; exits after 300 failed attempts.
 wait_for() {
-    local tries=0
+    local attempts=0
     until "$@" >/dev/null 2>&1; do
-        tries=$((tries + 1))
-        [ "$tries" -lt 300 ] || { echo "gave up waiting for: $*"; tail -n 5 "$work"/*.log; exit 1; }
+        attempts=$((attempts + 1))
+        [ "$attempts" -lt 300 ] || { echo "timed out waiting for: $*"; tail -n 5 "$work"/*.log; exit 1; }
         sleep 0.2
     done
 }
@@ -39,11 +39,11 @@
 bootstrap=demo-bootstrap-key
 bootstrap_hash=$(printf %s "$bootstrap" | sha256sum | cut -d' ' -f1)
 
-say "a stand-in platform on $platform"
+print_step "starting a stand-in platform on $platform"
 start platform "$bin/standin-platform" --listen "$platform"
 wait_for curl -sf "http://$platform/control/counters"
 
-say "two data centres with two entry instances each"
+print_step "starting two data centres with two entry instances each"
 number=0
 for data_centre in samsun-hall trabzon-hall; do
     for _ in 1 2; do
@@ -66,10 +66,10 @@
     done
 done
 operators=127.0.0.1:$((base + 201))
-everyone=$operators,127.0.0.1:$((base + 202)),127.0.0.1:$((base + 203)),127.0.0.1:$((base + 204))
+all_operators=$operators,127.0.0.1:$((base + 202)),127.0.0.1:$((base + 203)),127.0.0.1:$((base + 204))
 for number in 1 2 3 4; do wait_for curl -s "http://127.0.0.1:$((base + 200 + number))/metrics"; done
 
-say "three engines and one ledger service"
+print_step "starting three engines and one ledger service"
 engine() {
     start "$1" "$bin/standin-engine" --listen "127.0.0.1:$3" --platform "$platform" --name "$1" \
         --data_centre "$2" --service language --class spot-small --models airtime-writer
@@ -81,9 +81,9 @@
     --platform "$platform" --name ledger-1 --data_centre samsun-hall --service airtime-ledger \
     --class steady
 
-say "an operator applies examples/settings/karadeniz.yaml and waits until it is in force everywhere"
+print_step "applying examples/settings/karadeniz.yaml and waiting until all entry instances use it"
 SNIPESTALL_OPERATOR_KEY=$bootstrap "$bin/snipestallctl" apply -f examples/settings/karadeniz.yaml \
-    --server "$everyone" --reason demo --wait
+    --server "$all_operators" --reason demo --wait
 export SNIPESTALL_OPERATOR_KEY=example-operator-ayla
 
 caller=example-key-coastal-ferries
@@ -93,10 +93,10 @@
         -d '{"model":"airtime-writer","stream":true,"max_tokens":6,
              "messages":[{"role":"user","content":"Draft the settlement of voyage 41."}]}'
 }
-served() { chat "$1" | grep -q 'data: \[DONE\]'; }
-for number in 1 2 3 4; do wait_for served "$number"; done
+chat_completes() { chat "$1" | grep -q 'data: \[DONE\]'; }
+for number in 1 2 3 4; do wait_for chat_completes "$number"; done
 
-say "a streaming chat request at each entry instance; one engine has one owner, so most are forwarded"
+print_step "streaming a chat request through each entry instance; an engine has one owner, so most are forwarded"
 for number in 1 2 3 4; do
     offsets=$(chat "$number" | sed -n 's/^id: //p' | tr '\n' ' ')
     echo "entry-$number: offsets $offsets"
@@ -104,26 +104,26 @@
 done
 "$bin/snipestallctl" status --server "$operators"
 
-say "one top-up, sent to three entry instances with the same key"
+print_step "sending one top-up to three entry instances with the same idempotency key"
 topup() {
     curl -sS "http://127.0.0.1:$((base + 100 + $1))/services/airtime-ledger/topups" \
         -H "Authorization: Bearer $caller" -H "Idempotency-Key: $2" \
         -d '{"account":"vessel-7","amount":20}'
 }
-confirmed() { topup "$1" "warm-up-$1" | grep -q receipt; }
-for number in 1 2 3; do wait_for confirmed "$number"; done
+topup_is_confirmed() { topup "$1" "warm-up-$1" | grep -q receipt; }
+for number in 1 2 3; do wait_for topup_is_confirmed "$number"; done
 for number in 1 2 3; do
     receipt=$(topup "$number" demo-topup)
     echo "entry-$number: $receipt"
     [[ $receipt == *receipt-demo-topup* ]]
 done
 runs=$(curl -sS "http://127.0.0.1:$((base + 411))/control/runs")
-echo "the ledger's own count: $runs"
+echo "runs counted by the ledger service: $runs"
 [[ $runs == *'"key":"demo-topup"'* && $runs != *'"count":2'* ]]
 
-say "a settings change takes effect on the next request, with no further step"
+print_step "lowering a customer's request rate limit, which takes effect without a restart"
 "$bin/snipestallctl" set customers/coastal-ferries/limits/requests_per_second 0.001 \
-    --server "$everyone" --reason "demo: almost nothing allowed" --wait
+    --server "$all_operators" --reason "demo: lower the request rate limit" --wait
 refused=0
 for _ in 1 2 3 4 5 6; do
     status=$(curl -s -o "$work/refusal" -w '%{http_code}' \
@@ -136,4 +136,4 @@
 [ "$refused" = 1 ]
 "$bin/snipestallctl" audit --server "$operators"
 
-say "done: everything started here is stopped again"
+print_step "done; stopping all started processes"
--- a/scripts/format.sh
+++ b/scripts/format.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Formats every source in place; with --check only reports.
+# Formats all C++ sources in place; with --check only reports differences and fails if there are any.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mode=(-i)
--- a/scripts/install.sh
+++ b/scripts/install.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Installs what the build and the checks need on a fresh Debian 12 machine; does nothing where all
-# of it is there.
+# Installs the packages that the build and the checks need on Debian 12; does nothing if all are
+# installed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
-# python3 may not be there yet to read the list with.
+# sed reads the list, because python3 may not be installed yet.
 mapfile -t packages < <(sed -n 's/^packages = \[\(.*\)\]$/\1/p' deploy/system.toml | tr -d '" ' | tr , '\n')
 [ ${#packages[@]} -gt 0 ] || { echo "deploy/system.toml: no line 'packages = [...]'" >&2; exit 1; }
 packages+=(
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# clang-tidy over the sources given, or over all. Needs a configured build directory.
-# A source whose text, headers and settings are unchanged since it last passed is passed over.
+# Runs clang-tidy on the given sources, or on all. Needs a configured build directory.
+# lint_one.py skips a source if the same inputs have passed before.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD_DIR:-build}
--- a/scripts/lint_one.py
+++ b/scripts/lint_one.py
@@ -1,8 +1,9 @@
 #!/usr/bin/env python3
-"""Runs clang-tidy on one source, unless the same preprocessed inputs have passed before.
+"""Runs clang-tidy on one source, unless the same inputs have passed before.
 
-The key is a hash of the source, every header of this project that it includes, and .clang-tidy,
-so that a pass is only reused for the very same text.
+The cache key is a hash of the source, the headers that it includes, directly or indirectly, from
+INCLUDE_ROOTS and the includer's directory, TIDY_VERSION and .clang-tidy, so that a pass is reused only
+for identical text.
 """
 import hashlib
 import os
@@ -12,40 +13,40 @@
 import sys
 
 INCLUDE = re.compile(r'^\s*#include "([^"]+)"', re.M)
-ROOTS = [pathlib.Path(p) for p in ("include", "src", "apps", "standins", "tests", "bench", ".")]
+INCLUDE_ROOTS = [pathlib.Path(p) for p in ("include", "src", "apps", "standins", "tests", "bench", ".")]
 TIDY_VERSION = "14"
 
 
-def closure(path, seen):
-    if path in seen:
+def collect_includes(path, collected):
+    if path in collected:
         return
-    seen.add(path)
+    collected.add(path)
     for name in INCLUDE.findall(path.read_text()):
-        for root in [path.parent, *ROOTS]:
+        for root in [path.parent, *INCLUDE_ROOTS]:
             if (root / name).is_file():
-                closure((root / name), seen)
+                collect_includes((root / name), collected)
                 break
 
 
 source = pathlib.Path(sys.argv[1])
-files = set()
-closure(source, files)
+inputs = set()
+collect_includes(source, inputs)
 digest = hashlib.sha256((TIDY_VERSION + pathlib.Path(".clang-tidy").read_text()).encode())
-for path in sorted(files, key=str):
+for path in sorted(inputs, key=str):
     digest.update(str(path).encode() + b"\0" + path.read_bytes())
 cache = pathlib.Path(os.environ.get("LINT_CACHE", pathlib.Path.home() / ".cache/snipestall-lint"))
 cache.mkdir(parents=True, exist_ok=True)
-mark = cache / digest.hexdigest()
-if mark.exists():
+passed_marker = cache / digest.hexdigest()
+if passed_marker.exists():
     sys.exit(0)
-# clang 14 knows the standard's coroutines but does not announce them by the macro.
-run = subprocess.run(
+# clang 14 supports standard coroutines but doesn't define the feature test macro.
+result = subprocess.run(
     ["clang-tidy", "--quiet", "-p", os.environ.get("BUILD_DIR", "build"),
      "--extra-arg=-D__cpp_impl_coroutine=201902L", "--extra-arg=-Wno-everything", str(source)],
     capture_output=True, text=True)
-if run.returncode == 0:
-    mark.touch()
+if result.returncode == 0:
+    passed_marker.touch()
     sys.exit(0)
-print(run.stdout)
-print("\n".join(l for l in run.stderr.splitlines() if "error" in l))
+print(result.stdout)
+print("\n".join(line for line in result.stderr.splitlines() if "error" in line))
 sys.exit(1)
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,28 +1,28 @@
 #!/usr/bin/env bash
-# Plays seeds of the soak, some side by side, and prints one line a seed.
-#     scripts/soak.sh FIRST LAST [SECONDS [AT_ONCE]]
-# Logs go to /tmp/snipestall-soak; the exit code is that of the worst seed.
+# Runs the soak test with the seeds FIRST to LAST, PARALLEL at a time, and prints the result of each.
+#     scripts/soak.sh FIRST LAST [SECONDS [PARALLEL]]
+# Logs go to /tmp/snipestall-soak. The exit code is 1 if any seed failed, otherwise 0.
 set -uo pipefail
 cd "$(dirname "$0")/.."
-first=$1 last=$2 seconds=${3:-30} at_once=${4:-4}
+first=$1 last=$2 seconds=${3:-30} parallel=${4:-4}
 program=${BUILD_DIR:-build}/bin/snipestall-soak
 logs=/tmp/snipestall-soak
 mkdir -p "$logs"
-play() {
+run_seed() {
     "$program" --seed "$1" --seconds "$seconds" >"$logs/$1.log" 2>&1
     local code=$?
-    grep -h '^BROKEN\|^seed\|^files' "$logs/$1.log" || echo "seed $1: ended with $code, see $logs/$1.log"
+    grep -h '^BROKEN\|^seed\|^files' "$logs/$1.log" || echo "seed $1: exit code $code, see $logs/$1.log"
     return $code
 }
-worst=0
-for ((seed = first; seed <= last; seed += at_once)); do
+failed=0
+for ((seed = first; seed <= last; seed += parallel)); do
     jobs=()
-    for ((each = seed; each < seed + at_once && each <= last; each++)); do
-        play "$each" &
+    for ((batch_seed = seed; batch_seed < seed + parallel && batch_seed <= last; batch_seed++)); do
+        run_seed "$batch_seed" &
         jobs+=($!)
     done
     for job in "${jobs[@]}"; do
-        wait "$job" || worst=1
+        wait "$job" || failed=1
     done
 done
-exit $worst
+exit $failed
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs, builds and runs every test.
+# Installs the dependencies, builds, and runs all tests except those that KNOWN-RED.txt lists.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/install.sh
