--- a/bench/baselines/baseline.cpp
+++ b/bench/baselines/baseline.cpp
@@ -11,8 +11,8 @@
 using namespace std::chrono_literals;
 
 constexpr std::uint32_t MaxAttempts = 4;
-constexpr std::size_t MaxQueue = 1000;
-constexpr Duration DeclinedPause = 50ms;
+constexpr std::size_t MaxQueueLength = 1000;
+constexpr Duration DeclineBackoff = 50ms;
 constexpr Duration RetryAfter = 1s;
 
 } // namespace
@@ -30,9 +30,9 @@
 {
     m_now = now;
     m_commands = &commands;
-    m_wake.reset();
+    m_nextWake.reset();
     for (const auto &event : events) {
-        std::visit([this](const auto &known) { handle(known); }, event);
+        std::visit([this](const auto &concreteEvent) { handle(concreteEvent); }, event);
     }
     expireWaiting();
     dispatchWaiting();
@@ -47,7 +47,7 @@
 {
     m_requests[event.request] = { event };
     auto &queue = m_queues[event.service];
-    if (queue.size() >= MaxQueue) {
+    if (queue.size() >= MaxQueueLength) {
         refuse(event.request, RefusalReason::QueueFull);
         return;
     }
@@ -83,11 +83,11 @@
     const bool didNotRun =
         event.result == AttemptResult::NotSent || event.result == AttemptResult::Declined;
     if (event.result == AttemptResult::Declined) {
-        m_holdUntil[found->second.arrived.service] = m_now + DeclinedPause;
+        m_backoffUntil[found->second.arrived.service] = m_now + DeclineBackoff;
     }
     found->second.attempts -= didNotRun ? 1 : 0;
-    const bool mayRepeat = didNotRun || found->second.arrived.idempotent;
-    if (!mayRepeat || found->second.attempts >= MaxAttempts) {
+    const bool mayRetry = didNotRun || found->second.arrived.idempotent;
+    if (!mayRetry || found->second.attempts >= MaxAttempts) {
         refuse(event.request, RefusalReason::RetriesExhausted);
         return;
     }
@@ -140,13 +140,13 @@
 void Baseline::dispatchWaiting()
 {
     for (auto &[service, queue] : m_queues) {
-        while (!queue.empty() && m_holdUntil[service] <= m_now
+        while (!queue.empty() && m_backoffUntil[service] <= m_now
                && dispatch(m_requests.at(queue.front()))) {
             queue.pop_front();
         }
         if (!queue.empty()) {
-            const Time next = std::max(m_holdUntil[service], m_now + DeclinedPause);
-            m_wake = std::min(m_wake.value_or(next), next);
+            const Time retryAt = std::max(m_backoffUntil[service], m_now + DeclineBackoff);
+            m_nextWake = std::min(m_nextWake.value_or(retryAt), retryAt);
         }
     }
 }
--- a/bench/baselines/baseline.hpp
+++ b/bench/baselines/baseline.hpp
@@ -17,17 +17,19 @@
 
 namespace snipestall::policy::baselines {
 
-/// A plain balancer to measure World against: a request goes at once to the server that the
-/// strategy picks and waits in that engine's own FIFO queue. What is declined waits here, first in,
-/// first out. Knows no urgency, no fair share and no early refusal; a stream cut off by a reclaim
-/// is sent again, as often as MaxAttempts allows.
+/// A simple load balancer with which World is compared. It sends a request at once to the server
+/// that its ServerChoice selects, where the request waits in the engine's own FIFO queue. Requests
+/// that a server declined and requests without a server wait in a FIFO queue per service. Urgency,
+/// fair shares and early refusal are not supported. A failed attempt, such as a stream cut off by a
+/// reclaim, is repeated if it did not run or its request is idempotent, as often as MaxAttempts
+/// allows.
 class Baseline final : public DecisionMaker
 {
 public:
     static std::unique_ptr<Baseline> create(std::unique_ptr<ServerChoice> choice);
 
     void step(Time now, std::span<const Event> events, std::vector<Command> &commands) override;
-    [[nodiscard]] std::optional<Time> nextWake() const override { return m_wake; }
+    [[nodiscard]] std::optional<Time> nextWake() const override { return m_nextWake; }
     [[nodiscard]] std::vector<PoolSummary> summaries(Time now) const override;
 
 private:
@@ -62,9 +64,10 @@
     std::unordered_map<AttemptHandle, RequestHandle> m_running;
     std::uint64_t m_lastAttempt = 0;
     Time m_now {};
-    /// Until then a service whose server has declined is left alone.
-    std::map<std::string, Time> m_holdUntil;
-    std::optional<Time> m_wake;
+    /// For each service, the time until which nothing is dispatched because a server declined a
+    /// request.
+    std::map<std::string, Time> m_backoffUntil;
+    std::optional<Time> m_nextWake;
     std::vector<Command> *m_commands = nullptr;
 };
 
--- a/bench/baselines/baseline_server.hpp
+++ b/bench/baselines/baseline_server.hpp
@@ -7,14 +7,14 @@
 
 namespace snipestall::policy::baselines {
 
-/// What a baseline knows of one backend server.
+/// What a baseline knows about one backend server.
 struct BaselineServer
 {
     ServerHandle handle;
     std::string service;
-    /// By its last report, whenever that was.
+    /// Running and queued requests by the last report, which may be old.
     std::uint32_t reportedLoad = 0;
-    /// Sent by this instance since that report.
+    /// Requests that this instance has sent to the server since that report.
     std::uint32_t sentSinceReport = 0;
 };
 
--- a/bench/baselines/least_reported_load.hpp
+++ b/bench/baselines/least_reported_load.hpp
@@ -4,7 +4,8 @@
 
 namespace snipestall::policy::baselines {
 
-/// The server with the least load by its last report and what this instance has sent since.
+/// Chooses the server with the smallest sum of the load in its last report and the requests that
+/// this instance has sent since.
 class LeastReportedLoad final : public ServerChoice
 {
 public:
--- a/bench/baselines/prefix_hash.cpp
+++ b/bench/baselines/prefix_hash.cpp
@@ -11,7 +11,7 @@
                                std::span<const BaselineServer *const> servers)
 {
     if (request.prefix.empty()) {
-        return m_withoutPrefix.choose(request, servers);
+        return m_roundRobin.choose(request, servers);
     }
     const auto block = request.prefix.front();
     const auto best = std::ranges::max_element(servers, {}, [block](const BaselineServer *server) {
--- a/bench/baselines/prefix_hash.hpp
+++ b/bench/baselines/prefix_hash.hpp
@@ -4,8 +4,8 @@
 
 namespace snipestall::policy::baselines {
 
-/// The first block of the prompt alone picks the server, by rendezvous; what has no prefix goes
-/// round robin.
+/// Chooses the server by rendezvous hashing of the first block of the prompt. Requests without a
+/// prefix are distributed round robin.
 class PrefixHash final : public ServerChoice
 {
 public:
@@ -13,7 +13,7 @@
                        std::span<const BaselineServer *const> servers) override;
 
 private:
-    RoundRobin m_withoutPrefix;
+    RoundRobin m_roundRobin;
 };
 
 } // namespace snipestall::policy::baselines
--- a/bench/baselines/round_robin.hpp
+++ b/bench/baselines/round_robin.hpp
@@ -4,7 +4,7 @@
 
 namespace snipestall::policy::baselines {
 
-/// One server after the other.
+/// Chooses the servers in turn.
 class RoundRobin final : public ServerChoice
 {
 public:
--- a/bench/baselines/server_choice.hpp
+++ b/bench/baselines/server_choice.hpp
@@ -10,13 +10,13 @@
 
 namespace snipestall::policy::baselines {
 
-/// How a baseline picks the backend server for a request.
+/// The strategy by which a baseline chooses the backend server for a request.
 class ServerChoice
 {
 public:
     virtual ~ServerChoice() = default;
 
-    /// Index into `servers`, which is never empty.
+    /// Returns an index into `servers`, which is never empty.
     virtual std::size_t choose(const RequestArrived &request,
                                std::span<const BaselineServer *const> servers) = 0;
 };
--- a/bench/capacity.sh
+++ b/bench/capacity.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# What an entry instance costs: starts a stand-in platform, instances of one data centre and stand-in
-# engines on loopback, and measures processor time, memory, threads and bytes of each snipestalld,
-# idle by peers and by servers, and under load. Prints tables and least-squares slopes.
+# Measures the resource use of an entry instance. Starts a stand-in platform, the instances of one
+# data centre and stand-in engines on loopback, and measures the processor time, memory, threads and
+# bytes of each snipestalld: idle by number of peers, idle by number of servers, under load, and
+# under load with forwarded requests. Prints tables and the slopes of least-squares fits.
 #
-#     bench/capacity.sh [peers] [servers] [load] [forwards]     all by default, under four minutes
+#     bench/capacity.sh [peers] [servers] [load] [forwards]   all by default, in under four minutes
 #
-# At most 80 processes; all are stopped by their ids at the end. Needs ss (iproute2) and python3.
+# Runs at most 80 processes and stops each by its id at the end. Needs ss (iproute2) and python3.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=$PWD/${BUILD_DIR:-build}/bin
--- a/bench/experiment/aims.cpp
+++ b/bench/experiment/aims.cpp
@@ -9,29 +9,30 @@
 
 namespace {
 
-constexpr double UrgentAim = 0.99;
-constexpr double BaselineBelow = 0.90;
-constexpr double RecomputedAim = 0.25;
-constexpr double GoodputAim = 0.95;
+constexpr double MinUrgentShare = 0.99;
+constexpr double BaselineShareLimit = 0.90;
+constexpr double MaxRecomputedRatio = 0.25;
+constexpr double MinGoodputRatio = 0.95;
 
-using Value = std::function<double(const Measurement &)>;
+using Metric = std::function<double(const Measurement &)>;
 
-struct Best
+struct BestBaseline
 {
     std::string contestant;
     double value = 0;
 };
 
-/// Of the baselines alone; `sign` is 1 where more is better, -1 where less is.
-Best bestBaseline(const Results &results, const std::string &deployment,
-                  const std::string &condition, double sign, const Value &value)
+/// Returns the best baseline, without World. `sign` is 1 if higher values are better and -1 if
+/// lower values are.
+BestBaseline bestBaseline(const Results &results, const std::string &deployment,
+                          const std::string &condition, double sign, const Metric &metric)
 {
-    Best best;
+    BestBaseline best;
     const auto names = results.contestants();
     for (std::size_t i = 1; i < names.size(); ++i) {
-        const double found = value(results.of(deployment, condition, names[i]));
-        if (best.contestant.empty() || sign * found > sign * best.value) {
-            best = { names[i], found };
+        const double candidate = metric(results.measurementOf(deployment, condition, names[i]));
+        if (best.contestant.empty() || sign * candidate > sign * best.value) {
+            best = { names[i], candidate };
         }
     }
     return best;
@@ -40,54 +41,63 @@
 Aim urgentInTarget(const Results &results, const std::string &deployment,
                    const std::string &condition)
 {
-    const Value share = [](const Measurement &found) { return found.share("urgent"); };
+    const Metric share = [](const Measurement &measurement) {
+        return measurement.shareInTarget("urgent");
+    };
     const auto best = bestBaseline(results, deployment, condition, 1, share);
-    const double own = share(results.of(deployment, condition, results.contestants().front()));
-    Aim aim { deployment, "urgent >= 99% in target, " + condition, "", own >= UrgentAim };
-    aim.found = percent(own) + " against " + percent(best.value) + " (" + best.contestant + ")";
-    if (best.value >= BaselineBelow) {
-        aim.found += "; the best baseline is not under 90% here";
+    const double worldShare =
+        share(results.measurementOf(deployment, condition, results.contestants().front()));
+    Aim aim { deployment, "urgent >= 99% in target, " + condition, "",
+              worldShare >= MinUrgentShare };
+    aim.measured =
+        percent(worldShare) + " against " + percent(best.value) + " (" + best.contestant + ")";
+    if (best.value >= BaselineShareLimit) {
+        aim.measured += "; the best baseline is not under 90% here";
     }
     return aim;
 }
 
 Aim recomputedAfterWave(const Results &results, const std::string &deployment)
 {
-    const Value recomputed = [](const Measurement &found) {
-        return static_cast<double>(found.recomputed());
+    const Metric recomputed = [](const Measurement &measurement) {
+        return static_cast<double>(measurement.recomputed());
     };
-    const auto best = bestBaseline(results, deployment, Wave, -1, recomputed);
-    const double own = recomputed(results.of(deployment, Wave, results.contestants().front()));
+    const auto best = bestBaseline(results, deployment, ReclaimWave, -1, recomputed);
+    const double worldTokens =
+        recomputed(results.measurementOf(deployment, ReclaimWave, results.contestants().front()));
     Aim aim { deployment, "tokens recomputed after a wave <= 25% of the best baseline's", "",
-              own <= RecomputedAim * best.value };
-    const auto &found = results.of(deployment, Wave, results.contestants().front());
-    aim.found = thousands(own) + " against " + thousands(best.value) + " (" + best.contestant
-        + "); after losses alone " + thousands(static_cast<double>(found.lostTokens));
+              worldTokens <= MaxRecomputedRatio * best.value };
+    const auto &measurement =
+        results.measurementOf(deployment, ReclaimWave, results.contestants().front());
+    aim.measured = thousands(worldTokens) + " against " + thousands(best.value) + " ("
+        + best.contestant + "); after losses alone "
+        + thousands(static_cast<double>(measurement.lostTokens));
     return aim;
 }
 
 Aim goodputUnderOverload(const Results &results, const std::string &deployment)
 {
-    const auto own = results.contestants().front();
-    const double part = results.of(deployment, Overload, own).goodput
-        / results.of(deployment, FullLoad, own).goodput;
-    return { deployment, "goodput at 150% load >= 95% of that at 100%", percent(part),
-             part >= GoodputAim };
+    const auto world = results.contestants().front();
+    const double ratio = results.measurementOf(deployment, Overload, world).goodput
+        / results.measurementOf(deployment, FullLoad, world).goodput;
+    return { deployment, "goodput at 150% load >= 95% of that at 100%", percent(ratio),
+             ratio >= MinGoodputRatio };
 }
 
 Aim costAtTarget(const Results &results, const std::string &deployment)
 {
     Aim aim { deployment, "cost at the target below every baseline", "", true };
-    double own = 0;
+    double worldCost = 0;
     for (const auto &fleet : results.smallestFleets) {
         if (fleet.deployment != deployment) {
             continue;
         }
-        const bool isOwn = fleet.contestant == results.contestants().front();
-        own = isOwn ? fleet.costPerHour : own;
-        const bool isBeaten = fleet.servers == 0 || (own > 0 && own < fleet.costPerHour);
-        aim.isMet = aim.isMet && own > 0 && (isOwn || isBeaten);
-        aim.found += (aim.found.empty() ? "" : ", ") + fleet.contestant + " "
+        const bool isWorld = fleet.contestant == results.contestants().front();
+        worldCost = isWorld ? fleet.costPerHour : worldCost;
+        const bool isMoreExpensive =
+            fleet.servers == 0 || (worldCost > 0 && worldCost < fleet.costPerHour);
+        aim.isMet = aim.isMet && worldCost > 0 && (isWorld || isMoreExpensive);
+        aim.measured += (aim.measured.empty() ? "" : ", ") + fleet.contestant + " "
             + (fleet.servers == 0 ? "never in target" : decimal(fleet.costPerHour));
     }
     return aim;
--- a/bench/experiment/aims.hpp
+++ b/bench/experiment/aims.hpp
@@ -7,12 +7,12 @@
 
 namespace snipestall::policy::experiment {
 
-/// One aim set for the policy, and what was measured.
+/// A goal of the policy and the measured result.
 struct Aim
 {
     std::string deployment;
     std::string text;
-    std::string found;
+    std::string measured;
     bool isMet = false;
 };
 
--- a/bench/experiment/contestant.cpp
+++ b/bench/experiment/contestant.cpp
@@ -12,39 +12,39 @@
 namespace {
 
 template<typename Choice>
-Contestant baseline(std::string name)
+Contestant makeBaseline(std::string name)
 {
-    Contestant made { std::move(name), {} };
-    made.options.visibility = harness::Visibility::Everyone;
-    made.options.factory = [](const std::string &, std::uint64_t) {
+    Contestant contestant { std::move(name), {} };
+    contestant.options.visibility = harness::Visibility::Everyone;
+    contestant.options.factory = [](const std::string &, std::uint64_t) {
         return baselines::Baseline::create(std::make_unique<Choice>());
     };
-    return made;
+    return contestant;
 }
 
-Contestant world()
+Contestant makeWorld()
 {
-    Contestant made { "snipestall", {} };
-    made.options.factory = [](const std::string &dataCentre, std::uint64_t seed) {
+    Contestant contestant { "snipestall", {} };
+    contestant.options.factory = [](const std::string &dataCentre, std::uint64_t seed) {
         return World::create(dataCentre, seed);
     };
-    return made;
+    return contestant;
 }
 
 } // namespace
 
 std::vector<Contestant> contestants()
 {
-    return { world(), baseline<baselines::RoundRobin>("round robin"),
-             baseline<baselines::LeastReportedLoad>("least reported load"),
-             baseline<baselines::PrefixHash>("prefix hash") };
+    return { makeWorld(), makeBaseline<baselines::RoundRobin>("round robin"),
+             makeBaseline<baselines::LeastReportedLoad>("least reported load"),
+             makeBaseline<baselines::PrefixHash>("prefix hash") };
 }
 
 std::vector<Contestant> capacityContestants()
 {
-    auto fixed = world();
+    auto fixed = makeWorld();
     fixed.name = "fixed fleet";
-    auto buying = world();
+    auto buying = makeWorld();
     buying.name = "buying and releasing";
     buying.options.policyBuysCapacity = true;
     return { fixed, buying };
--- a/bench/experiment/contestant.hpp
+++ b/bench/experiment/contestant.hpp
@@ -7,17 +7,17 @@
 
 namespace snipestall::policy::experiment {
 
-/// A decision maker that takes part in the comparison.
+/// A decision maker that the experiment compares with others.
 struct Contestant
 {
     std::string name;
     harness::ClusterOptions options;
 };
 
-/// World first, then the baselines.
+/// Returns World, followed by the baselines.
 std::vector<Contestant> contestants();
 
-/// World on the fixed fleet, and World that starts and releases instances itself.
+/// Returns World on the fixed fleet, and World that starts and releases instances itself.
 std::vector<Contestant> capacityContestants();
 
 } // namespace snipestall::policy::experiment
--- a/bench/experiment/format.cpp
+++ b/bench/experiment/format.cpp
@@ -16,9 +16,9 @@
 
 } // namespace
 
-std::string percent(double part)
+std::string percent(double fraction)
 {
-    return fixed(part * 100, 1) + "%";
+    return fixed(fraction * 100, 1) + "%";
 }
 
 std::string thousands(double count)
--- a/bench/experiment/format.hpp
+++ b/bench/experiment/format.hpp
@@ -6,9 +6,9 @@
 
 namespace snipestall::policy::experiment {
 
-/// 0.987 -> "98.7%"
-std::string percent(double part);
-/// 12345 -> "12.3k"
+/// Formats 0.987 as "98.7%".
+std::string percent(double fraction);
+/// Formats 12345 as "12.3k".
 std::string thousands(double count);
 std::string decimal(double value);
 std::string milliseconds(Duration duration);
--- a/bench/experiment/measurement.cpp
+++ b/bench/experiment/measurement.cpp
@@ -14,11 +14,11 @@
 constexpr double Million = 1e6;
 constexpr double SecondsPerHour = 3600;
 
-void append(harness::Ledger &all, harness::Ledger one)
+void append(harness::Ledger &total, harness::Ledger added)
 {
-    std::ranges::move(one.calls, std::back_inserter(all.calls));
-    all.doubled += one.doubled;
-    all.cost += one.cost;
+    std::ranges::move(added.calls, std::back_inserter(total.calls));
+    total.doubled += added.doubled;
+    total.cost += added.cost;
 }
 
 double seconds(Duration duration)
@@ -28,7 +28,7 @@
 
 } // namespace
 
-double Measurement::share(const std::string &urgency) const
+double Measurement::shareInTarget(const std::string &urgency) const
 {
     const auto found = classes.find(urgency);
     return found == classes.end() ? 1.0 : found->second.share();
@@ -49,28 +49,30 @@
     for (auto &run : runs) {
         append(ledger, run.get());
     }
-    Measurement made;
-    made.deployment = deployment.name;
-    made.condition = condition.name;
-    made.contestant = contestant.name;
-    made.classes = ledger.byUrgency(condition.window);
-    made.fairness = harness::fairness(ledger.byCustomer(condition.window, deployment.modelService),
-                                      deployment.customers);
+    Measurement measurement;
+    measurement.deployment = deployment.name;
+    measurement.condition = condition.name;
+    measurement.contestant = contestant.name;
+    measurement.classes = ledger.byUrgency(condition.window);
+    measurement.fairness = harness::fairness(
+        ledger.byCustomer(condition.window, deployment.modelService), deployment.customers);
     std::uint64_t inTarget = 0;
-    for (const auto &[name, tally] : made.classes) {
+    for (const auto &[name, tally] : measurement.classes) {
         inTarget += name == "plain" ? 0 : tally.outputInTarget;
     }
     const double length = seconds(condition.window.to - condition.window.from);
-    made.goodput = static_cast<double>(inTarget) / (length * static_cast<double>(seeds.size()));
+    measurement.goodput =
+        static_cast<double>(inTarget) / (length * static_cast<double>(seeds.size()));
     const double costPerSecond =
         ledger.cost / (seconds(condition.scenario.duration) * static_cast<double>(seeds.size()));
-    made.costPerHour = costPerSecond * SecondsPerHour;
-    made.costPerMillionInTarget = made.goodput > 0 ? costPerSecond / made.goodput * Million : 0;
-    made.lostTokens = ledger.lostTokens(condition.window.from);
-    made.missedTokens = ledger.missedTokens(condition.window.from);
-    made.lostCalls = ledger.lost();
-    made.doubled = ledger.doubled;
-    return made;
+    measurement.costPerHour = costPerSecond * SecondsPerHour;
+    measurement.costPerMillionInTarget =
+        measurement.goodput > 0 ? costPerSecond / measurement.goodput * Million : 0;
+    measurement.lostTokens = ledger.lostTokens(condition.window.from);
+    measurement.missedTokens = ledger.missedTokens(condition.window.from);
+    measurement.lostCalls = ledger.lost();
+    measurement.doubled = ledger.doubled;
+    return measurement;
 }
 
 } // namespace snipestall::policy::experiment
--- a/bench/experiment/measurement.hpp
+++ b/bench/experiment/measurement.hpp
@@ -12,13 +12,13 @@
 
 namespace snipestall::policy::experiment {
 
-/// One contestant under one condition, over all seeds.
+/// The result of one contestant under one condition, over all seeds.
 struct Measurement
 {
     std::string deployment;
     std::string condition;
     std::string contestant;
-    /// "urgent", "normal", "patient", "plain"
+    /// Tallies under the keys "urgent", "normal", "patient" and "plain".
     std::map<std::string, harness::Tally> classes;
     double fairness = 0;
     double costPerHour = 0;
@@ -29,7 +29,7 @@
     std::uint32_t lostCalls = 0;
     std::uint32_t doubled = 0;
 
-    [[nodiscard]] double share(const std::string &urgency) const;
+    [[nodiscard]] double shareInTarget(const std::string &urgency) const;
     [[nodiscard]] std::uint64_t recomputed() const { return lostTokens + missedTokens; }
 };
 
--- a/bench/experiment/plot.cpp
+++ b/bench/experiment/plot.cpp
@@ -38,11 +38,11 @@
 std::string axis(int bottom)
 {
     std::ostringstream out;
-    for (const int part : { 0, 50, 90, 100 }) {
-        const int y = bottom - part * BarsHeight / 100;
+    for (const int percentage : { 0, 50, 90, 100 }) {
+        const int y = bottom - percentage * BarsHeight / 100;
         out << "<line x1=\"" << Left << "\" y1=\"" << y << "\" x2=\"" << Width - 10 << "\" y2=\""
             << y << "\" stroke=\"#ddd\"/>\n"
-            << text(Left - 6, y + 4, std::to_string(part) + "%", "end");
+            << text(Left - 6, y + 4, std::to_string(percentage) + "%", "end");
     }
     return out.str();
 }
@@ -71,7 +71,8 @@
     int x = Left + barWidth / 2;
     for (const auto &condition : results.conditions) {
         for (std::size_t i = 0; i < names.size(); ++i) {
-            const double share = results.of(deployment, condition.name, names[i]).share("urgent");
+            const double share =
+                results.measurementOf(deployment, condition.name, names[i]).shareInTarget("urgent");
             const int offset = static_cast<int>(i) * (barWidth + BarGap);
             out << bar(x + offset, bottom, barWidth, share, Colours.at(i % Colours.size()));
         }
--- a/bench/experiment/plot.hpp
+++ b/bench/experiment/plot.hpp
@@ -6,7 +6,7 @@
 
 namespace snipestall::policy::experiment {
 
-/// Bars of the share of urgent requests in target, by deployment and condition, as SVG.
+/// Returns an SVG bar chart of the share of urgent requests in target, by deployment and condition.
 std::string plot(const Results &results);
 
 } // namespace snipestall::policy::experiment
--- a/bench/experiment/policy_experiment.cpp
+++ b/bench/experiment/policy_experiment.cpp
@@ -1,4 +1,4 @@
-// Compares World with plain balancers on both deployments and writes the tables and the plot.
+// Compares World with simple load balancers on both deployments and writes the tables and the plot.
 //
 //     policy_experiment --seeds 3 --out docs/decisions
 
@@ -11,17 +11,20 @@
 #include <fstream>
 #include <iostream>
 
-DEFINE_uint32(seeds, 3, "runs of each contestant under each condition");
+DEFINE_uint32(seeds, 3, "number of runs of each contestant under each condition");
 DEFINE_uint64(first_seed, 101, "seed of the first run");
 DEFINE_string(out, "docs/decisions", "directory of the report");
-DEFINE_bool(fleets, true, "also search the smallest fleet in target and let the policy buy one");
+DEFINE_bool(
+    fleets, true,
+    "also search for the smallest fleet in target and compare a fixed fleet with one that the "
+    "policy sizes");
 
 namespace {
 
 using namespace snipestall::policy;
 using namespace snipestall::policy::experiment;
 
-Results run()
+Results runExperiment()
 {
     Results results;
     results.conditions = conditions();
@@ -44,14 +47,14 @@
                 findSmallestFleet(deployment, contestant, results.seeds));
         }
         for (const auto &contestant : capacityContestants()) {
-            results.capacity.push_back(
+            results.capacityMeasurements.push_back(
                 measure(deployment, risingLoad(), contestant, results.seeds));
         }
     }
     return results;
 }
 
-bool write(const std::filesystem::path &file, const std::string &text)
+bool writeFile(const std::filesystem::path &file, const std::string &text)
 {
     std::ofstream out(file);
     out << text;
@@ -64,12 +67,13 @@
 int main(int argc, char **argv)
 {
     gflags::ParseCommandLineFlags(&argc, &argv, true);
-    const auto results = run();
+    const auto results = runExperiment();
     const std::filesystem::path out(FLAGS_out);
-    const bool written = write(out / "policy-experiment.md", report(results))
-        && write(out / "policy-experiment.svg", plot(results));
+    const bool written = writeFile(out / "policy-experiment.md", report(results))
+        && writeFile(out / "policy-experiment.svg", plot(results));
     if (!written) {
-        std::cerr << "can't write to " << out << "; create it or name another with --out\n";
+        std::cerr << "cannot write the report to " << out
+                  << ": create the directory or choose another with --out\n";
         return 1;
     }
     return 0;
--- a/bench/experiment/report.cpp
+++ b/bench/experiment/report.cpp
@@ -33,7 +33,7 @@
     out << ".\n\n";
     for (const auto &condition : results.conditions) {
         out << "- **" << condition.name << "**"
-            << (condition.meaning.empty() ? "" : ": " + condition.meaning) << "\n";
+            << (condition.description.empty() ? "" : ": " + condition.description) << "\n";
     }
 }
 
@@ -41,38 +41,40 @@
 {
     out << "\n## Aims\n\n| deployment | aim | measured | met |\n|---|---|---|---|\n";
     for (const auto &aim : checkAims(results)) {
-        out << "| " << aim.deployment << " | " << aim.text << " | " << aim.found << " | "
+        out << "| " << aim.deployment << " | " << aim.text << " | " << aim.measured << " | "
             << (aim.isMet ? "yes" : "**no**") << " |\n";
     }
 }
 
-std::string rowHead(const Measurement &found)
+std::string rowPrefix(const Measurement &measurement)
 {
-    return "| " + found.condition + " | " + found.contestant + " |";
+    return "| " + measurement.condition + " | " + measurement.contestant + " |";
 }
 
-void writeShares(std::ostream &out, const Measurement &found)
+void writeShares(std::ostream &out, const Measurement &measurement)
 {
-    out << rowHead(found);
+    out << rowPrefix(measurement);
     for (const auto *name : Classes) {
-        out << " " << (found.classes.contains(name) ? percent(found.share(name)) : "-") << " |";
+        out << " "
+            << (measurement.classes.contains(name) ? percent(measurement.shareInTarget(name)) : "-")
+            << " |";
     }
     std::uint32_t refused = 0;
     std::uint32_t failed = 0;
-    for (const auto &[name, tally] : found.classes) {
+    for (const auto &[name, tally] : measurement.classes) {
         refused += tally.refused + tally.expired;
         failed += tally.failed;
     }
-    out << " " << refused << " | " << failed << " | " << found.lostCalls << " | " << found.doubled
-        << " |\n";
+    out << " " << refused << " | " << failed << " | " << measurement.lostCalls << " | "
+        << measurement.doubled << " |\n";
 }
 
-void writeLatencies(std::ostream &out, const Measurement &found)
+void writeLatencies(std::ostream &out, const Measurement &measurement)
 {
-    out << rowHead(found);
+    out << rowPrefix(measurement);
     for (const auto *name : Classes) {
-        const auto tally = found.classes.find(name);
-        if (tally == found.classes.end()) {
+        const auto tally = measurement.classes.find(name);
+        if (tally == measurement.classes.end()) {
             out << " - |";
             continue;
         }
@@ -83,20 +85,21 @@
     out << "\n";
 }
 
-void writeCosts(std::ostream &out, const Measurement &found)
+void writeCosts(std::ostream &out, const Measurement &measurement)
 {
-    out << rowHead(found) << " " << decimal(found.goodput) << " | "
-        << decimal(found.costPerMillionInTarget) << " | " << thousands(found.lostTokens) << " | "
-        << thousands(found.missedTokens) << " | " << decimal(found.fairness) << " |\n";
+    out << rowPrefix(measurement) << " " << decimal(measurement.goodput) << " | "
+        << decimal(measurement.costPerMillionInTarget) << " | " << thousands(measurement.lostTokens)
+        << " | " << thousands(measurement.missedTokens) << " | " << decimal(measurement.fairness)
+        << " |\n";
 }
 
-using WriteRow = void (*)(std::ostream &out, const Measurement &found);
+using WriteRow = void (*)(std::ostream &out, const Measurement &measurement);
 
 struct Table
 {
     const char *title;
     const char *columns;
-    int count;
+    int columnCount;
     WriteRow writeRow;
 };
 
@@ -117,13 +120,13 @@
 {
     out << "\n### " << table.title << ", " << deployment << "\n\n| condition | policy | "
         << table.columns << " |\n|---|---|";
-    for (int i = 0; i < table.count; ++i) {
+    for (int i = 0; i < table.columnCount; ++i) {
         out << "---|";
     }
     out << "\n";
-    for (const auto &found : results.measurements) {
-        if (found.deployment == deployment) {
-            table.writeRow(out, found);
+    for (const auto &measurement : results.measurements) {
+        if (measurement.deployment == deployment) {
+            table.writeRow(out, measurement);
         }
     }
 }
@@ -146,7 +149,7 @@
 
 void writeCapacity(std::ostream &out, const Results &results)
 {
-    if (results.capacity.empty()) {
+    if (results.capacityMeasurements.empty()) {
         return;
     }
     out << "\n## Capacity decided by the policy\n\nHalf an hour at 30%, 80% and 30% load, ten "
@@ -155,11 +158,12 @@
            "hour, "
            "plain servers too | cost per million in target | urgent | normal | patient | plain |\n"
            "|---|---|---|---|---|---|---|---|\n";
-    for (const auto &found : results.capacity) {
-        out << "| " << found.deployment << " | " << found.contestant << " | "
-            << decimal(found.costPerHour) << " | " << decimal(found.costPerMillionInTarget) << " |";
+    for (const auto &measurement : results.capacityMeasurements) {
+        out << "| " << measurement.deployment << " | " << measurement.contestant << " | "
+            << decimal(measurement.costPerHour) << " | "
+            << decimal(measurement.costPerMillionInTarget) << " |";
         for (const auto *name : Classes) {
-            out << " " << percent(found.share(name)) << " |";
+            out << " " << percent(measurement.shareInTarget(name)) << " |";
         }
         out << "\n";
     }
--- a/bench/experiment/report.hpp
+++ b/bench/experiment/report.hpp
@@ -6,7 +6,7 @@
 
 namespace snipestall::policy::experiment {
 
-/// The tables, as Markdown.
+/// Returns the whole report as Markdown.
 std::string report(const Results &results);
 
 } // namespace snipestall::policy::experiment
--- a/bench/experiment/results.cpp
+++ b/bench/experiment/results.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-std::vector<std::string> distinct(const std::vector<Measurement> &measurements,
-                                  std::string Measurement::*name)
+std::vector<std::string> distinctValues(const std::vector<Measurement> &measurements,
+                                        std::string Measurement::*member)
 {
     std::vector<std::string> names;
-    for (const auto &found : measurements) {
-        if (std::ranges::find(names, found.*name) == names.end()) {
-            names.push_back(found.*name);
+    for (const auto &measurement : measurements) {
+        if (std::ranges::find(names, measurement.*member) == names.end()) {
+            names.push_back(measurement.*member);
         }
     }
     return names;
@@ -22,8 +22,9 @@
 
 } // namespace
 
-const Measurement &Results::of(const std::string &deployment, const std::string &condition,
-                               const std::string &contestant) const
+const Measurement &Results::measurementOf(const std::string &deployment,
+                                          const std::string &condition,
+                                          const std::string &contestant) const
 {
     const auto found = std::ranges::find_if(measurements, [&](const Measurement &entry) {
         return entry.deployment == deployment && entry.condition == condition
@@ -31,19 +32,20 @@
     });
     if (found == measurements.end()) {
         throw Exception(
-            { ErrorKind::Internal, "no measurement of " + contestant + "; run it first" });
+            { ErrorKind::Internal,
+              "no measurement of " + contestant + " under this condition and in this deployment" });
     }
     return *found;
 }
 
 std::vector<std::string> Results::deployments() const
 {
-    return distinct(measurements, &Measurement::deployment);
+    return distinctValues(measurements, &Measurement::deployment);
 }
 
 std::vector<std::string> Results::contestants() const
 {
-    return distinct(measurements, &Measurement::contestant);
+    return distinctValues(measurements, &Measurement::contestant);
 }
 
 } // namespace snipestall::policy::experiment
--- a/bench/experiment/results.hpp
+++ b/bench/experiment/results.hpp
@@ -9,17 +9,18 @@
 
 namespace snipestall::policy::experiment {
 
-/// All that one run of the experiment found.
+/// The measurements of one run of the experiment.
 struct Results
 {
     std::vector<std::uint64_t> seeds;
     std::vector<Condition> conditions;
     std::vector<Measurement> measurements;
     std::vector<SmallestFleet> smallestFleets;
-    std::vector<Measurement> capacity;
+    std::vector<Measurement> capacityMeasurements;
 
-    [[nodiscard]] const Measurement &of(const std::string &deployment, const std::string &condition,
-                                        const std::string &contestant) const;
+    [[nodiscard]] const Measurement &measurementOf(const std::string &deployment,
+                                                   const std::string &condition,
+                                                   const std::string &contestant) const;
     [[nodiscard]] std::vector<std::string> deployments() const;
     [[nodiscard]] std::vector<std::string> contestants() const;
 };
--- a/bench/experiment/smallest_fleet.cpp
+++ b/bench/experiment/smallest_fleet.cpp
@@ -9,20 +9,21 @@
 
 namespace {
 
-/// The load stays at this part of what the whole fleet can serve.
+/// Load as a fraction of the capacity of the whole fleet. It stays the same for smaller fleets.
 constexpr double LoadLevel = 0.5;
-/// "For 95 in 100".
-constexpr double LeastShare = 0.95;
+/// A class is in target if at least 95 in 100 of its requests are.
+constexpr double MinShareInTarget = 0.95;
 
-bool keepsTarget(const Measurement &found)
+bool keepsTarget(const Measurement &measurement)
 {
-    return std::ranges::all_of(
-        found.classes, [](const auto &entry) { return entry.second.share() >= LeastShare; });
+    return std::ranges::all_of(measurement.classes, [](const auto &entry) {
+        return entry.second.share() >= MinShareInTarget;
+    });
 }
 
-/// Takes the server from the largest group of the model service, so that the data centres stay
-/// alike.
-void removeOne(harness::Deployment &deployment)
+/// Removes a server from the largest group of the model service, so that the groups of the data
+/// centres stay about equally large.
+void removeServer(harness::Deployment &deployment)
 {
     harness::ServerGroup *largest = nullptr;
     for (auto &group : deployment.groups) {
@@ -53,14 +54,14 @@
 SmallestFleet findSmallestFleet(const harness::Deployment &deployment, const Contestant &contestant,
                                 std::span<const std::uint64_t> seeds)
 {
-    const auto condition = steady("smallest fleet", LoadLevel);
+    const auto condition = steadyLoad("smallest fleet", LoadLevel);
     SmallestFleet best { deployment.name, contestant.name, 0, 0 };
     harness::Deployment candidate = deployment;
     while (candidate.servers(candidate.modelService) > 0
            && keepsTarget(measure(candidate, condition, contestant, seeds))) {
         best.servers = candidate.servers(candidate.modelService);
         best.costPerHour = costPerHour(candidate);
-        removeOne(candidate);
+        removeServer(candidate);
     }
     return best;
 }
--- a/bench/experiment/smallest_fleet.hpp
+++ b/bench/experiment/smallest_fleet.hpp
@@ -11,12 +11,12 @@
 
 namespace snipestall::policy::experiment {
 
-/// The cheapest fleet, taken down server by server, that still keeps all classes in target.
+/// The smallest fleet that keeps all classes in target when model servers are removed one by one.
 struct SmallestFleet
 {
     std::string deployment;
     std::string contestant;
-    /// Model servers; 0 when not even the whole fleet keeps the target.
+    /// The number of model servers; 0 if even the whole fleet misses the target.
     std::uint32_t servers = 0;
     double costPerHour = 0;
 };
--- a/bench/platform_cost.cpp
+++ b/bench/platform_cost.cpp
@@ -1,5 +1,5 @@
-// What the store's parts cost an instance and the platform: calls, bytes and processor time of a
-// claim, a settings poll, a settings change and a round of the steward, against a running platform.
+// Measures the calls, bytes and processor time that an instance needs for a claim, a settings
+// change, a settings poll and a lease renewal of the steward, against a running platform.
 //
 //     build/bin/standin-platform --listen=127.0.0.1:7000
 //     build/bin/platform_cost --platform 127.0.0.1:7000
@@ -19,7 +19,8 @@
 #include <iterator>
 
 DEFINE_string(platform, "127.0.0.1:7000", "address of the platform");
-DEFINE_string(settings, "examples/settings/karadeniz.yaml", "document that is put and changed");
+DEFINE_string(settings, "examples/settings/karadeniz.yaml",
+              "settings document that each change stores");
 
 namespace snipestall {
 namespace {
@@ -28,29 +29,29 @@
 using platform::PlatformCounters;
 using wire::Task;
 
-/// Processor time and platform counters at one moment.
-struct Mark
+/// The processor time and the platform counters at one point in time.
+struct Snapshot
 {
-    std::clock_t processor = std::clock();
+    std::clock_t processorTime = std::clock();
     PlatformCounters counters;
 };
 
-class Cost
+class PlatformCost
 {
 public:
-    explicit Cost(const wire::Endpoint &endpoint)
+    explicit PlatformCost(const wire::Endpoint &endpoint)
         : m_platform(platform::HttpPlatform::create(m_io, endpoint, m_clock))
     { }
 
-    void measureClaims(int count, int atOnce)
+    void measureClaims(int count, int concurrency)
     {
         peer::ClaimOptions options;
         options.writesPerSecond = 0;
         const auto keeper = peer::ClaimKeeper::create(m_io, *m_platform, m_clock, "bench", options);
-        const Mark before = mark();
-        for (int done = 0; done < count; done += atOnce)
-            claimTogether(*keeper, atOnce, done);
-        report("claim + outcome, " + std::to_string(atOnce) + " at once", count, before);
+        const Snapshot before = takeSnapshot();
+        for (int first = 0; first < count; first += concurrency)
+            claimConcurrently(*keeper, concurrency, first);
+        printRow("claim + outcome, " + std::to_string(concurrency) + " at once", count, before);
     }
 
     void measureSettings(int count)
@@ -58,19 +59,21 @@
         peer::SettingsStore store(*m_platform, m_clock);
         std::ifstream file(FLAGS_settings);
         const std::string yaml(std::istreambuf_iterator<char>(file), {});
-        const std::string run = std::to_string(m_clock.wallNow().time_since_epoch().count());
+        const std::string runId = std::to_string(m_clock.wallNow().time_since_epoch().count());
         auto head = platform::runTask(m_io, store.head());
         std::uint64_t version = head.value().version;
-        const Mark beforeChanges = mark();
+        const Snapshot beforeChanges = takeSnapshot();
         for (int i = 0; i < count; ++i) {
-            peer::SettingsChange change { run + std::to_string(i), version, "bench", "", {}, yaml };
+            peer::SettingsChange change {
+                runId + std::to_string(i), version, "bench", "", {}, yaml
+            };
             version = platform::runTask(m_io, store.change(std::move(change))).value().version;
         }
-        report("settings change", count, beforeChanges);
-        const Mark beforePolls = mark();
+        printRow("settings change", count, beforeChanges);
+        const Snapshot beforePolls = takeSnapshot();
         for (int i = 0; i < count; ++i)
             platform::runTask(m_io, store.headVersion());
-        report("poll of the settings' head", count, beforePolls);
+        printRow("poll of the settings' head", count, beforePolls);
     }
 
     void measureSteward(int rounds)
@@ -79,23 +82,24 @@
         options.renewInterval = 1ms;
         const auto steward =
             peer::Steward::create(m_io, *m_platform, m_clock, "bench-hall", "bench", 1, options);
-        const Mark before = mark();
+        const Snapshot before = takeSnapshot();
         steward->start();
-        const std::uint64_t until = before.counters.transactions + rounds;
-        platform::runUntil(m_io, [&] { return m_platform->counters().transactions >= until; });
-        report("renewal of the lease", rounds, before);
+        const std::uint64_t targetCount = before.counters.transactions + rounds;
+        platform::runUntil(m_io,
+                           [&] { return m_platform->counters().transactions >= targetCount; });
+        printRow("renewal of the lease", rounds, before);
         boost::asio::co_spawn(m_io, steward->stop(), boost::asio::detached);
         platform::runUntilIdle(m_io);
     }
 
 private:
-    [[nodiscard]] Mark mark() const { return { std::clock(), m_platform->counters() }; }
+    [[nodiscard]] Snapshot takeSnapshot() const { return { std::clock(), m_platform->counters() }; }
 
-    void claimTogether(peer::ClaimKeeper &keeper, int count, int first)
+    void claimConcurrently(peer::ClaimKeeper &keeper, int count, int first)
     {
-        const std::string run = std::to_string(m_clock.wallNow().time_since_epoch().count());
+        const std::string runId = std::to_string(m_clock.wallNow().time_since_epoch().count());
         for (int i = 0; i < count; ++i) {
-            const std::string attempt = run + "." + std::to_string(first + i);
+            const std::string attempt = runId + "." + std::to_string(first + i);
             boost::asio::co_spawn(m_io, claimAndStore(keeper, attempt), boost::asio::detached);
         }
         platform::runUntilIdle(m_io);
@@ -113,20 +117,20 @@
         keeper.storeOutcome(key, attempt, std::move(stored));
     }
 
-    void report(const std::string &what, int count, const Mark &before) const
+    void printRow(const std::string &operation, int count, const Snapshot &before) const
     {
-        const Mark now = mark();
-        const auto each = [count](auto after, auto start) {
+        const Snapshot now = takeSnapshot();
+        const auto perOperation = [count](auto after, auto start) {
             return static_cast<double>(after - start) / count;
         };
-        const double microseconds =
-            each(now.processor, before.processor) * 1e6 / static_cast<double>(CLOCKS_PER_SEC);
-        std::printf("%-34s %8.3f %8.3f %8.3f %9.0f %9.0f %8.0f\n", what.c_str(),
-                    each(now.counters.transactions, before.counters.transactions),
-                    each(now.counters.rowWrites, before.counters.rowWrites),
-                    each(now.counters.reads, before.counters.reads),
-                    each(now.counters.bytesOut, before.counters.bytesOut),
-                    each(now.counters.bytesIn, before.counters.bytesIn), microseconds);
+        const double microseconds = perOperation(now.processorTime, before.processorTime) * 1e6
+            / static_cast<double>(CLOCKS_PER_SEC);
+        std::printf("%-34s %8.3f %8.3f %8.3f %9.0f %9.0f %8.0f\n", operation.c_str(),
+                    perOperation(now.counters.transactions, before.counters.transactions),
+                    perOperation(now.counters.rowWrites, before.counters.rowWrites),
+                    perOperation(now.counters.reads, before.counters.reads),
+                    perOperation(now.counters.bytesOut, before.counters.bytesOut),
+                    perOperation(now.counters.bytesIn, before.counters.bytesIn), microseconds);
     }
 
     boost::asio::io_context m_io;
@@ -145,12 +149,12 @@
         std::fprintf(stderr, "%s\n", endpoint.error().message.c_str());
         return 2;
     }
-    snipestall::Cost cost(*endpoint);
+    snipestall::PlatformCost platformCost(*endpoint);
     std::printf("%-34s %8s %8s %8s %9s %9s %8s\n", "each", "transact", "rows", "reads", "bytes out",
                 "bytes in", "cpu us");
-    for (const int atOnce : { 1, 10, 100 })
-        cost.measureClaims(atOnce == 1 ? 100 : 2000, atOnce);
-    cost.measureSettings(200);
-    cost.measureSteward(200);
+    for (const int concurrency : { 1, 10, 100 })
+        platformCost.measureClaims(concurrency == 1 ? 100 : 2000, concurrency);
+    platformCost.measureSettings(200);
+    platformCost.measureSteward(200);
     return 0;
 }
--- a/bench/policy_bench.cpp
+++ b/bench/policy_bench.cpp
@@ -1,6 +1,6 @@
-// What one decision costs the policy: processor time for an event, and memory for a queued request
-// and for a backend server. Every slot is taken and the queue stays as long as it is: in each
-// round a request ends, the next one takes its slot, and a new one arrives.
+// Measures the processor time that the policy needs for an event, and its memory for a queued
+// request and for a backend server. All slots are used and the length of the queue stays constant:
+// in each round a request ends, a queued request takes its slot, and a new request arrives.
 
 #include "snipestall/policy/world.hpp"
 #include "snipestall/settings/effective_settings.hpp"
@@ -27,25 +27,25 @@
 
 std::shared_ptr<settings::EffectiveSettings> makeSettings()
 {
-    auto made = std::make_shared<settings::EffectiveSettings>();
-    made->dataCentre = "samsun-hall";
-    made->services.emplace_back().service = "airtime";
+    auto effective = std::make_shared<settings::EffectiveSettings>();
+    effective->dataCentre = "samsun-hall";
+    effective->services.emplace_back().service = "airtime";
     for (int i = 0; i < Customers; ++i) {
-        settings::LeafSettings &leaf = made->leaves.emplace_back();
+        settings::LeafSettings &leaf = effective->leaves.emplace_back();
         leaf.customer = "customer-" + std::to_string(i);
         leaf.service = "airtime";
         leaf.requestsPerSecond = 1e9;
         leaf.tokensPerSecond = 1e12;
         leaf.concurrency = 1000000;
     }
-    return made;
+    return effective;
 }
 
-/// Drives a World with full servers and a queue of constant length.
-class Rig
+/// Drives a World whose servers have no free slot and whose queue has a constant length.
+class SaturatedWorld
 {
 public:
-    Rig(std::int64_t servers, std::int64_t queued)
+    SaturatedWorld(std::int64_t servers, std::int64_t queued)
     {
         step(SettingsChanged { makeSettings() });
         for (std::int64_t i = 1; i <= servers; ++i)
@@ -56,28 +56,29 @@
                             SlotsPerServer,
                             {} });
         for (std::int64_t i = 0; i < servers * SlotsPerServer + queued; ++i)
-            arrive();
+            addRequest();
     }
 
-    void round()
+    void runRound()
     {
         const Dispatch oldest = m_running.front();
         m_running.pop_front();
         m_now += 100us;
         step(TokensProduced { oldest.request, oldest.attempt, 100 });
         step(AttemptEnded { oldest.request, oldest.attempt, AttemptResult::Completed, {} });
-        arrive();
+        addRequest();
     }
 
 private:
-    void arrive()
+    void addRequest()
     {
         RequestArrived event;
         event.request = { ++m_lastRequest };
         event.customer = "customer-" + std::to_string(m_lastRequest % Customers);
         event.service = "airtime";
         event.urgency = static_cast<Urgency>(m_lastRequest % 3);
-        // Or it would be refused, and the queue be shorter than asked for.
+        // The limits of the policy could refuse a request that is not accepted yet, which would
+        // make the queue shorter than the benchmark asks for.
         event.accepted = true;
         event.promptTokens = 1000;
         event.maxTokens = 100;
@@ -106,9 +107,9 @@
 
 void BM_Event(benchmark::State &state)
 {
-    Rig rig(state.range(0), state.range(1));
+    SaturatedWorld world(state.range(0), state.range(1));
     for (auto _ : state)
-        rig.round();
+        world.runRound();
     const auto events = static_cast<double>(state.iterations() * EventsPerRound);
     state.counters["time_per_event"] =
         benchmark::Counter(events, benchmark::Counter::kIsRate | benchmark::Counter::kInvert);
@@ -121,16 +122,16 @@
     ->Args({ 100, 10000 })
     ->Args({ 600, 10000 });
 
-double heapBytes()
+double usedHeapBytes()
 {
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-double heapOf(std::int64_t servers, std::int64_t queued)
+double heapBytesFor(std::int64_t servers, std::int64_t queued)
 {
-    const double before = heapBytes();
-    const Rig rig(servers, queued);
-    return heapBytes() - before;
+    const double before = usedHeapBytes();
+    const SaturatedWorld world(servers, queued);
+    return usedHeapBytes() - before;
 }
 
 void BM_Memory(benchmark::State &state)
@@ -138,10 +139,13 @@
     constexpr std::int64_t Servers = 20;
     constexpr std::int64_t Queued = 10000;
     for (auto _ : state) {
-        const double small = heapOf(Servers, 0);
-        state.counters["bytes_per_queued"] = (heapOf(Servers, Queued) - small) / Queued;
-        // With the requests that run on it and the prefixes that they left there.
-        state.counters["bytes_per_server"] = (heapOf(2 * Servers, 0) - small) / Servers;
+        const double withoutQueue = heapBytesFor(Servers, 0);
+        state.counters["bytes_per_queued"] =
+            (heapBytesFor(Servers, Queued) - withoutQueue) / Queued;
+        // Includes the state of the requests that run on the server and of the prefixes that they
+        // left in its cache.
+        state.counters["bytes_per_server"] =
+            (heapBytesFor(2 * Servers, 0) - withoutQueue) / Servers;
     }
 }
 BENCHMARK(BM_Memory)->Iterations(1);
--- a/bench/settings_bench.cpp
+++ b/bench/settings_bench.cpp
@@ -1,5 +1,6 @@
-// What one instance spends on a new version of the settings: parsing with all checks, and the view
-// of its data centre. Sizes are customers; the tree has 10 data centres and 6 services.
+// Measures the time that one instance needs to parse and check a new version of the settings, to
+// compute the effective settings of its data centre, and to edit and compare versions. The argument
+// is the number of customers; the tree has 10 data centres and 6 services.
 
 #include "snipestall/settings/effective_settings.hpp"
 #include "snipestall/settings/sha256.hpp"
@@ -17,7 +18,7 @@
 constexpr int DataCentres = 10;
 constexpr int Services = 6;
 
-std::string documentOf(std::int64_t customers)
+std::string makeDocument(std::int64_t customers)
 {
     std::ostringstream yaml;
     yaml << "fleet: {weight: 1, latency: {first_token: 1200ms, inter_token: 35ms}}\n"
@@ -42,17 +43,17 @@
 
 void BM_Parse(benchmark::State &state)
 {
-    const std::string yaml = documentOf(state.range(0));
+    const std::string yaml = makeDocument(state.range(0));
     for (auto _ : state)
         benchmark::DoNotOptimize(settings::Tree::parse(yaml));
     state.counters["bytes"] = static_cast<double>(yaml.size());
 }
 
-/// The form in which a version is stored and sent.
+/// Parses the canonical form, in which a version is stored and sent.
 void BM_ParseCanonical(benchmark::State &state)
 {
     const std::string yaml =
-        settings::Tree::parse(documentOf(state.range(0))).value().toCanonicalYaml();
+        settings::Tree::parse(makeDocument(state.range(0))).value().toCanonicalYaml();
     for (auto _ : state)
         benchmark::DoNotOptimize(settings::Tree::parse(yaml));
     state.counters["bytes"] = static_cast<double>(yaml.size());
@@ -60,14 +61,14 @@
 
 void BM_Effective(benchmark::State &state)
 {
-    const auto tree = settings::Tree::parse(documentOf(state.range(0))).value();
+    const auto tree = settings::Tree::parse(makeDocument(state.range(0))).value();
     for (auto _ : state)
         benchmark::DoNotOptimize(tree.effective("hall-3", 1));
 }
 
 void BM_EditAndCompare(benchmark::State &state)
 {
-    const auto tree = settings::Tree::parse(documentOf(state.range(0))).value();
+    const auto tree = settings::Tree::parse(makeDocument(state.range(0))).value();
     const std::vector<settings::Edit> edits { { "customers/customer-0/weight", "3" } };
     for (auto _ : state) {
         const auto edited = settings::withEdits(tree, edits);
--- a/examples/policy_by_hand.cpp
+++ b/examples/policy_by_hand.cpp
@@ -1,5 +1,5 @@
-// The policy without sockets: one backend server with one slot, two requests. The first is
-// dispatched, the second waits; when the first ends the second is dispatched.
+// Runs the policy without sockets, with one backend server of one slot and two requests. The first
+// request is dispatched and the second waits. When the first ends, the second is dispatched.
 
 #include "snipestall/policy/world.hpp"
 #include "snipestall/settings/effective_settings.hpp"
@@ -15,23 +15,23 @@
 using namespace snipestall;
 using namespace std::chrono_literals;
 
-std::shared_ptr<const settings::EffectiveSettings> oneService()
+std::shared_ptr<const settings::EffectiveSettings> makeSettings()
 {
-    auto view = std::make_shared<settings::EffectiveSettings>();
-    view->version = 1;
-    view->dataCentre = "samsun-hall";
+    auto effective = std::make_shared<settings::EffectiveSettings>();
+    effective->version = 1;
+    effective->dataCentre = "samsun-hall";
     settings::ServiceSettings service;
     service.service = "language";
     service.urgentReserve = 0;
-    view->services.push_back(service);
+    effective->services.push_back(service);
     settings::LeafSettings leaf;
     leaf.customer = "harbour-office";
     leaf.service = "language";
-    view->leaves.push_back(leaf);
-    return view;
+    effective->leaves.push_back(leaf);
+    return effective;
 }
 
-policy::RequestArrived request(std::uint64_t number, policy::Time now)
+policy::RequestArrived makeRequest(std::uint64_t number, policy::Time now)
 {
     policy::RequestArrived event;
     event.request = { number };
@@ -44,7 +44,7 @@
     return event;
 }
 
-/// Steps once, prints the dispatches and returns the last attempt.
+/// Passes the events to the policy, prints each dispatch and returns the attempt of the last one.
 policy::AttemptHandle step(policy::World &world, policy::Time now,
                            std::vector<policy::Event> events)
 {
@@ -72,11 +72,11 @@
     server.service = "language";
     server.dataCentre = "samsun-hall";
     server.slots = 1;
-    const auto first = step(
-        *world, start,
-        { policy::SettingsChanged { oneService() }, server, request(1, start), request(2, start) });
+    const auto firstAttempt = step(*world, start,
+                                   { policy::SettingsChanged { makeSettings() }, server,
+                                     makeRequest(1, start), makeRequest(2, start) });
     policy::AttemptEnded ended;
     ended.request = { 1 };
-    ended.attempt = first;
+    ended.attempt = firstAttempt;
     step(*world, start + 2s, { ended });
 }
