--- a/include/snipestall/gateway/store_follower.hpp
+++ b/include/snipestall/gateway/store_follower.hpp
@@ -26,7 +26,7 @@
 /// Keeps the operator's configuration and the list of backend servers up to date from the store.
 ///
 /// Failures it guards against: the store is unavailable (the last known data stays in force);
-/// entries of running servers lapse while it is unavailable (they are kept until the servers have
+/// entries of running servers expire while it is unavailable (they are kept until the servers have
 /// had time to list themselves again); the store drops its history (the table is read again in
 /// full); a configuration is older than the one in force (it is ignored).
 class StoreFollower
@@ -46,9 +46,9 @@
     /// Applies the changes of a table that a peer has passed on, and the age of its copy.
     void applyPeerChanges(const TableChanges &changes, const std::string &table,
                           std::chrono::milliseconds age);
-    /// Removes the servers whose entries lapsed and were not listed again, and readmits those that
+    /// Removes the servers whose entries expired and were not listed again, and readmits those that
     /// have proved to be running. The caller calls it several times a second.
-    void updateLapsedServers();
+    void updateExpiredServers();
 
 private:
     /// One table that is followed, and the functions that apply its rows.
@@ -88,7 +88,7 @@
     Feed m_config;
     Feed m_list;
     bool m_reader = false;
-    serving::ExpiryWindow m_lapse;
+    serving::ExpiryWindow m_expiryWindow;
     std::unordered_set<std::string> m_faultyLogged;
     std::function<void()> m_changed;
 };
--- a/src/snipestall/gateway/gateway.cpp
+++ b/src/snipestall/gateway/gateway.cpp
@@ -150,7 +150,7 @@
 {
     bool wasReady = false;
     while (true) {
-        follower.updateLapsedServers();
+        follower.updateExpiredServers();
         state.servers.compareSpeeds();
         state.backends.prune(state.clock.steadyNow());
         if (ready() != wasReady) {
--- a/src/snipestall/gateway/store_follower.cpp
+++ b/src/snipestall/gateway/store_follower.cpp
@@ -59,7 +59,7 @@
                  &StoreFollower::configChange }
     , m_list { TableCopy(platform::ServerTableName), &StoreFollower::listSnapshot,
                &StoreFollower::listChange }
-    , m_lapse(state.settings.serverHeartbeat, state.settings.bounds.drain)
+    , m_expiryWindow(state.settings.serverHeartbeat, state.settings.bounds.drain)
 { }
 
 void StoreFollower::start(std::function<void()> changed)
@@ -90,7 +90,7 @@
     if (feed->copy.table() != table || !feed->loaded)
         return;
     if (feed == &m_list && changes.to > feed->copy.version())
-        m_lapse.listReceived(feed->copy.age(m_state.clock.steadyNow()), m_state.clock.steadyNow());
+        m_expiryWindow.listReceived(feed->copy.age(m_state.clock.steadyNow()), m_state.clock.steadyNow());
     const std::int64_t known = feed->copy.version();
     if (feed->copy.advanceFromPeer(changes)) {
         for (const platform::StoredRow &row : changes.rows) {
@@ -168,7 +168,7 @@
     const SteadyTime now = m_state.clock.steadyNow();
     m_state.commonTime.observeStoreClock(storeTime, now);
     if (&feed == &m_list)
-        m_lapse.listReceived(feed.copy.age(now), now);
+        m_expiryWindow.listReceived(feed.copy.age(now), now);
     if (!feed.storeUnavailable)
         return;
     feed.storeUnavailable = false;
@@ -248,7 +248,7 @@
         // The previous value of the row is overwritten. A running server writes its entry again
         // with its next heartbeat. A server that has left meanwhile does not, and nothing else
         // would remove this row.
-        m_state.servers.markExpired(row.name.key, now + m_lapse.length());
+        m_state.servers.markExpired(row.name.key, now + m_expiryWindow.length());
         return;
     }
     const serving::PutResult listing = m_state.servers.put(*server, now);
@@ -305,8 +305,8 @@
 void StoreFollower::handleRemoval(const std::string &id)
 {
     const SteadyTime now = m_state.clock.steadyNow();
-    if (m_lapse.isOpen(now)) {
-        m_state.servers.markExpired(id, m_lapse.until());
+    if (m_expiryWindow.isOpen(now)) {
+        m_state.servers.markExpired(id, m_expiryWindow.until());
         return;
     }
     if (const auto gone = m_state.servers.remove(id))
@@ -323,7 +323,7 @@
                { "reason", reason } });
 }
 
-void StoreFollower::updateLapsedServers()
+void StoreFollower::updateExpiredServers()
 {
     const SteadyTime now = m_state.clock.steadyNow();
     for (const auto &gone : m_state.servers.removeExpired(now))
--- a/src/snipestall/serving/expiry_window_test.cpp
+++ b/src/snipestall/serving/expiry_window_test.cpp
@@ -12,7 +12,7 @@
 // Guards against most requests being refused permanently after an outage of the store: an instance
 // that gets the list from its peers has seen no failed call of its own, takes all expired servers
 // as gone, and ids that are gone are never accepted again.
-TEST(LapseWindow, OpensAfterAGapWhateverEndsIt)
+TEST(ExpiryWindow, OpensAfterAGapWhateverEndsIt)
 {
     ExpiryWindow window(1200ms, 2000ms);
     EXPECT_FALSE(window.isOpen(Start));
@@ -21,7 +21,7 @@
     EXPECT_FALSE(window.isOpen(Start + 1400ms));
 }
 
-TEST(LapseWindow, StaysClosedWhileTheListIsFresh)
+TEST(ExpiryWindow, StaysClosedWhileTheListIsFresh)
 {
     ExpiryWindow window(1200ms, 2000ms);
     for (int i = 0; i < 100; ++i)
@@ -29,7 +29,7 @@
     EXPECT_FALSE(window.isOpen(Start + 10s));
 }
 
-TEST(LapseWindow, IsNotProlongedByAFreshList)
+TEST(ExpiryWindow, IsNotProlongedByAFreshList)
 {
     ExpiryWindow window(1200ms, 2000ms);
     window.listReceived(4500ms, Start);
@@ -37,7 +37,7 @@
     EXPECT_FALSE(window.isOpen(Start + 1400ms));
 }
 
-TEST(LapseWindow, IsNoLongerThanServersNeed)
+TEST(ExpiryWindow, IsNoLongerThanServersNeed)
 {
     ExpiryWindow window(1200ms, 9000ms);
     window.listReceived(4500ms, Start);
