--- a/include/snipestall/gateway/duty_runner.hpp
+++ b/include/snipestall/gateway/duty_runner.hpp
@@ -63,7 +63,7 @@
     wire::Task<void> removeCounts(std::int64_t window);
 
     wire::Task<void> orderServers();
-    wire::Task<bool> learnUsualFleet(const std::string &service);
+    wire::Task<bool> initializePlanner(const std::string &service);
     [[nodiscard]] std::map<std::string, serving::FleetCount>
     countServers(const std::string &service) const;
     [[nodiscard]] platform::DutyHolder holder() const;
@@ -81,7 +81,7 @@
     /// Last window that this instance has reported while it holds the lease.
     std::int64_t m_reportedUpTo = 0;
     std::map<std::string, serving::FleetPlanner> m_planners;
-    std::int64_t m_plannersFence = 0;
+    std::int64_t m_plannersFencingToken = 0;
 };
 
 } // namespace snipestall::gateway
--- a/include/snipestall/gateway/gateway_state.hpp
+++ b/include/snipestall/gateway/gateway_state.hpp
@@ -67,7 +67,7 @@
     serving::CrashWatch crashes;
     CommonTime commonTime;
     BackendPool backends;
-    platform::KvCacheClient memory;
+    platform::KvCacheClient kvCaches;
     GatewayCounters counters;
     GatewayMetrics metrics;
     serving::LoopLag loopLag;
--- a/include/snipestall/gateway/request_relay.hpp
+++ b/include/snipestall/gateway/request_relay.hpp
@@ -117,7 +117,7 @@
     platform::CallerHeader m_header;
     const serving::Route *m_route = nullptr;
     const serving::Customer *m_customer = nullptr;
-    serving::Demand m_demand;
+    serving::PlacementRequest m_placementRequest;
     SteadyTime m_received;
     /// Time by which the request must have its final answer.
     SteadyTime m_deadline;
@@ -137,7 +137,7 @@
     std::optional<StreamWatch::Handle> m_streamHandle;
     std::shared_ptr<StreamMove> m_move;
     /// Location of the memory of the run that the next attempt continues.
-    std::string m_memoryFrom;
+    std::string m_kvCacheSource;
     std::uint64_t m_fingerprint = 0;
     /// Key of the server that last cut off an answer.
     std::string m_lastLostServer;
--- a/include/snipestall/gateway/store_follower.hpp
+++ b/include/snipestall/gateway/store_follower.hpp
@@ -66,8 +66,8 @@
 
     wire::Task<void> follow(Feed &feed);
     wire::Task<bool> pollOnce(Feed &feed);
-    void answered(Feed &feed, std::chrono::milliseconds storeTime);
-    void failed(Feed &feed, const Error &error);
+    void handlePollAnswer(Feed &feed, std::chrono::milliseconds storeTime);
+    void handlePollError(Feed &feed, const Error &error);
     std::vector<platform::StoredRow> configSnapshot(const platform::StoredRows &rows);
     void configChange(const platform::StoredRow &row);
     std::vector<platform::StoredRow> listSnapshot(const platform::StoredRows &rows);
--- a/include/snipestall/serving/duty_lease.hpp
+++ b/include/snipestall/serving/duty_lease.hpp
@@ -16,7 +16,7 @@
     /// Name and process of the holder; empty after the lease was released.
     std::string holder;
     /// Fencing token; it grows by one whenever the holder changes.
-    std::int64_t fence = 0;
+    std::int64_t fencingToken = 0;
 };
 
 /// A conditional write of the lease row; it succeeds only if the row still has `expectedVersion`.
@@ -51,11 +51,11 @@
     void setCandidate(bool candidate, SteadyTime now);
     /// Whether this instance may act now.
     [[nodiscard]] bool holds(SteadyTime now) const;
-    [[nodiscard]] std::int64_t fence() const { return m_row.fence; }
+    [[nodiscard]] std::int64_t fencingToken() const { return m_row.fencingToken; }
     /// Whether the row should be read or written now, depending also on when the holder last
     /// reported.
-    [[nodiscard]] bool wantsRead(SteadyTime now) const;
-    [[nodiscard]] std::optional<LeaseWrite> wantsWrite(SteadyTime now) const;
+    [[nodiscard]] bool isReadDue(SteadyTime now) const;
+    [[nodiscard]] std::optional<LeaseWrite> dueWrite(SteadyTime now) const;
     /// The write that releases the lease; nothing if this instance does not hold it.
     [[nodiscard]] std::optional<LeaseWrite> release() const;
 
--- a/include/snipestall/serving/fleet_planner.hpp
+++ b/include/snipestall/serving/fleet_planner.hpp
@@ -74,13 +74,13 @@
 class FleetPlanner
 {
 public:
-    /// `usual`: number of servers that the operators started with, by data centre.
-    FleetPlanner(ScalingPolicy policy, const std::map<std::string, int> &usual);
+    /// `initial`: number of servers that the operators started with, by data centre.
+    FleetPlanner(ScalingPolicy policy, const std::map<std::string, int> &initial);
 
     /// Reports which part of the target latency the slowest tenth of requests waits for its first
     /// byte, as a measure of how close the fleet is to being too small. To be called a few times
     /// per second.
-    void updatePressure(double partOfTarget, SteadyTime now);
+    void updatePressure(double fractionOfTarget, SteadyTime now);
     /// Returns the orders to be sent now; the result of each is reported with accepted() or
     /// refused().
     [[nodiscard]] std::vector<FleetOrder> plan(const std::map<std::string, FleetCount> &counts,
@@ -109,7 +109,7 @@
     static constexpr double ColdCapacity = 0.5;
     /// The smallest fleet that is kept, relative to the number of servers that the operators
     /// started with: demand may return faster than servers start.
-    static constexpr double MinPartOfUsual = 1.5;
+    static constexpr double MinFleetFactor = 1.5;
     /// The fleet grows above this pressure: a queue that takes half of the target latency leaves no
     /// room for the next jump in demand.
     static constexpr double GrowThreshold = 0.55;
@@ -133,7 +133,7 @@
     };
     struct DataCentreState
     {
-        int usual = 0;
+        int initial = 0;
         OrderState reclaimable;
         OrderState onDemand;
     };
@@ -152,7 +152,7 @@
     /// remain after the data centre with most of them has lost its own.
     [[nodiscard]] static int insuranceNeeded(const std::map<std::string, FleetCount> &counts,
                                              double servers);
-    [[nodiscard]] int usualTotal() const;
+    [[nodiscard]] int initialTotal() const;
     [[nodiscard]] std::vector<std::string> dataCentresByPrice() const;
     /// Whether an order for `wanted` servers has to be sent now.
     [[nodiscard]] bool isDue(const OrderState &state, int wanted, int present,
--- a/include/snipestall/serving/latency_pressure.hpp
+++ b/include/snipestall/serving/latency_pressure.hpp
@@ -14,8 +14,8 @@
 class LatencyPressure
 {
 public:
-    /// A request got its first byte after `partOfTarget` times the target latency.
-    void firstByte(const std::string &service, double partOfTarget, SteadyTime now);
+    /// A request got its first byte after `fractionOfTarget` times the target latency.
+    void firstByte(const std::string &service, double fractionOfTarget, SteadyTime now);
     /// The 90th percentile of the last seconds; 0 without requests.
     [[nodiscard]] double percentile90(const std::string &service, SteadyTime now);
 
@@ -26,7 +26,7 @@
     struct Sample
     {
         SteadyTime time;
-        double partOfTarget = 0;
+        double fractionOfTarget = 0;
     };
 
     std::unordered_map<std::string, std::deque<Sample>> m_services;
--- a/include/snipestall/serving/placement.hpp
+++ b/include/snipestall/serving/placement.hpp
@@ -18,7 +18,7 @@
 struct Service;
 
 /// What a request needs from a backend server.
-struct Demand
+struct PlacementRequest
 {
     const Service *service = nullptr;
     /// Set only for generations.
@@ -62,23 +62,25 @@
               std::uint64_t seed);
 
     /// Returns nothing if no server of the service accepts requests.
-    [[nodiscard]] std::optional<ServerChoice> choose(const Demand &demand, SteadyTime now);
+    [[nodiscard]] std::optional<ServerChoice> choose(const PlacementRequest &request,
+                                                     SteadyTime now);
     /// The request was sent, so its shared parts are cached on `server` from now on. `server` is
     /// the key of the server.
-    void requestSent(const Demand &demand, const std::string &server, SteadyTime now);
+    void requestSent(const PlacementRequest &request, const std::string &server, SteadyTime now);
     /// Forgets what is cached on a server, given by its key.
     void forgetServer(const std::string &server);
 
 private:
-    [[nodiscard]] std::vector<ServerStatePtr> candidates(const Demand &demand,
+    [[nodiscard]] std::vector<ServerStatePtr> candidates(const PlacementRequest &request,
                                                          SteadyTime now) const;
-    [[nodiscard]] ServerChoice chooseForPrompt(const Demand &demand,
+    [[nodiscard]] ServerChoice chooseForPrompt(const PlacementRequest &request,
                                                const std::vector<ServerStatePtr> &servers,
                                                SteadyTime now) const;
-    [[nodiscard]] ServerChoice
-    chooseForCall(const Demand &demand, const std::vector<ServerStatePtr> &servers, SteadyTime now);
+    [[nodiscard]] ServerChoice chooseForCall(const PlacementRequest &request,
+                                             const std::vector<ServerStatePtr> &servers,
+                                             SteadyTime now);
     /// Cost between 0 and 1 that decides between servers with the same load.
-    [[nodiscard]] double tieBreak(const Demand &demand, const ServerState &server);
+    [[nodiscard]] double tieBreak(const PlacementRequest &request, const ServerState &server);
     /// Prompt tokens that `server` has to read. `preferred`: id of the server that caches the
     /// shared part.
     [[nodiscard]] double uncached(const Prompt &prompt, const ServerState &server,
--- a/include/snipestall/serving/quota_keeper.hpp
+++ b/include/snipestall/serving/quota_keeper.hpp
@@ -16,7 +16,7 @@
 namespace snipestall::serving {
 
 /// The decision whether a request fits into the quota of a customer.
-struct QuotaVerdict
+struct QuotaDecision
 {
     bool admitted = true;
     /// For a refused request: time until the same amount may be free again.
@@ -102,7 +102,7 @@
     void setRegisteredInstances(std::size_t count) { m_registered = count; }
 
     /// Takes `units` from the quota of `customer`, if the request is admitted.
-    QuotaVerdict take(const std::string &customer, double units, SteadyTime now);
+    QuotaDecision take(const std::string &customer, double units, SteadyTime now);
     /// Gives back the units taken for a request that did not run.
     void refund(const std::string &customer, double units);
     /// The totals of this process.
@@ -143,7 +143,7 @@
     static constexpr double ToleranceInRate = 0.5;
     /// Part of the burst below which requests are admitted at random. Above it, the use of the
     /// other instances until their next reports does not empty the bucket.
-    static constexpr double UnrestrictedPart = 0.5;
+    static constexpr double UnrestrictedFraction = 0.5;
     /// Time within which the remaining level of the bucket is used up in addition to the rate, or a
     /// debt is paid: several exchanges of reports, so that the instances can follow each other.
     static constexpr std::chrono::milliseconds BalancingTime { 1000 };
--- a/include/snipestall/serving/retry_allowance.hpp
+++ b/include/snipestall/serving/retry_allowance.hpp
@@ -45,12 +45,12 @@
     static constexpr std::size_t Slices = 20;
     /// The rest is kept in reserve, because windows slide at both ends and the instances count
     /// separately.
-    static constexpr double UsedPart = 0.7;
+    static constexpr double UsedFraction = 0.7;
 
     struct Slice
     {
         std::int64_t number = -1;
-        std::uint32_t firsts = 0;
+        std::uint32_t firstAttempts = 0;
         std::uint32_t repeats = 0;
     };
     using Window = std::array<Slice, Slices>;
--- a/include/snipestall/serving/server_speed.hpp
+++ b/include/snipestall/serving/server_speed.hpp
@@ -20,7 +20,7 @@
     /// Average pause between two events; nothing before the first stream has ended.
     [[nodiscard]] std::optional<std::chrono::duration<double>> pause() const { return m_pause; }
     /// Updates slowness() by the median pause of all servers of the service.
-    void compareWith(std::chrono::duration<double> usual);
+    void compareWith(std::chrono::duration<double> medianPause);
     /// Time that work takes on this server, relative to the other servers of the service.
     [[nodiscard]] double slowness() const { return m_slowness; }
 
--- a/src/snipestall/entry/attempt.hpp
+++ b/src/snipestall/entry/attempt.hpp
@@ -22,7 +22,7 @@
     /// its end is not reported to the policy.
     bool cancelled = false;
     /// The end of the attempt has been handled.
-    bool over = false;
+    bool endHandled = false;
 };
 
 } // namespace snipestall::entry
--- a/src/snipestall/entry/attempt_claim.cpp
+++ b/src/snipestall/entry/attempt_claim.cpp
@@ -76,7 +76,7 @@
     }
     // The slot is released while this request waits for the outcome of the other attempt.
     m_deps.policy->post(policy::RequestCancelled { request->handle() });
-    attempt.over = true;
+    attempt.endHandled = true;
     request->cancelCallbacks().erase(attempt.handle.value);
     m_onServer.erase(attempt.handle);
     co_await awaitOutcome(request);
--- a/src/snipestall/entry/attempt_on_peer.cpp
+++ b/src/snipestall/entry/attempt_on_peer.cpp
@@ -82,7 +82,7 @@
     // A peer that broke off the call gets no more work until its next heartbeat, which takes at
     // most a second if it is alive. Otherwise a lost owner would be sent every retry until its
     // missing heartbeats are noticed.
-    const bool interrupted = !attempt.over && !attempt.cancelled && !request->finished();
+    const bool interrupted = !attempt.endHandled && !attempt.cancelled && !request->finished();
     if (interrupted)
         m_deps.policy->post(policy::PeerGone { command.peer });
     // Unless the owner has reported that the request was not run, it may have run.
--- a/src/snipestall/entry/attempt_on_server.cpp
+++ b/src/snipestall/entry/attempt_on_server.cpp
@@ -194,7 +194,7 @@
 wire::Task<void> Dispatcher::readTokens(Attempt &attempt, wire::HttpStream &stream)
 {
     wire::EventStreamParser parser;
-    while (!attempt.cancelled && !attempt.over) {
+    while (!attempt.cancelled && !attempt.endHandled) {
         auto bytes = co_await stream.read();
         if (attempt.cancelled)
             co_return;
@@ -205,7 +205,7 @@
         if (!bytes->has_value())
             co_return ended(attempt, policy::AttemptResult::ConnectionLost);
         for (const wire::StreamEvent &event : parser.feed(**bytes)) {
-            if (attempt.over || !handleTokenEvent(attempt, event.data))
+            if (attempt.endHandled || !handleTokenEvent(attempt, event.data))
                 co_return ended(attempt, policy::AttemptResult::ConnectionLost);
         }
     }
--- a/src/snipestall/entry/dispatcher.cpp
+++ b/src/snipestall/entry/dispatcher.cpp
@@ -321,7 +321,7 @@
 void Dispatcher::ended(Attempt &attempt, policy::AttemptResult result,
                        std::chrono::milliseconds retryAfter)
 {
-    if (std::exchange(attempt.over, true))
+    if (std::exchange(attempt.endHandled, true))
         return;
     logEvent(events::AttemptEnded,
              { { "request", attempt.request->spec().id },
--- a/src/snipestall/entry/trial_coordinator.cpp
+++ b/src/snipestall/entry/trial_coordinator.cpp
@@ -111,7 +111,7 @@
         m_crashes.add({ report.fingerprint(), report.server() }, now);
     peer::v1::TrialReply reply;
     if (request.over())
-        m_registry.over(request.fingerprint(), request.request());
+        m_registry.endTrial(request.fingerprint(), request.request());
     else
         reply.set_wait(!m_registry.mayStart(
             { request.fingerprint(), request.request(), request.home() }, now));
--- a/src/snipestall/entry/trial_registry.cpp
+++ b/src/snipestall/entry/trial_registry.cpp
@@ -20,7 +20,7 @@
     return true;
 }
 
-void TrialRegistry::over(std::uint64_t fingerprint, const std::string &request)
+void TrialRegistry::endTrial(std::uint64_t fingerprint, const std::string &request)
 {
     const auto found = m_active.find(fingerprint);
     if (found != m_active.end() && found->second.request == request)
--- a/src/snipestall/entry/trial_registry.hpp
+++ b/src/snipestall/entry/trial_registry.hpp
@@ -34,7 +34,7 @@
     /// Returns whether the request may start. For the first copy it returns true on every call.
     bool mayStart(const Trial &trial, Time now);
     /// Ends the trial of a copy that has ended or has produced its first token.
-    void over(std::uint64_t fingerprint, const std::string &request);
+    void endTrial(std::uint64_t fingerprint, const std::string &request);
     /// Ends all trials of an instance that was lost.
     void removeHome(const std::string &home);
 
--- a/src/snipestall/entry/trial_registry_test.cpp
+++ b/src/snipestall/entry/trial_registry_test.cpp
@@ -22,9 +22,9 @@
     // The second attempt of the first copy, after the first server has crashed.
     EXPECT_TRUE(registry.mayStart(First, Start + 1s));
     EXPECT_FALSE(registry.mayStart(Second, Start + 1s));
-    registry.over(7, Second.request);
+    registry.endTrial(7, Second.request);
     EXPECT_FALSE(registry.mayStart(Second, Start + 1s));
-    registry.over(7, First.request);
+    registry.endTrial(7, First.request);
     EXPECT_TRUE(registry.mayStart(Second, Start + 1s));
 }
 
--- a/src/snipestall/gateway/duty_runner.cpp
+++ b/src/snipestall/gateway/duty_runner.cpp
@@ -41,7 +41,8 @@
 
 std::string encodeLease(const serving::LeaseRow &row)
 {
-    return json::serialize(json::object { { "holder", row.holder }, { "fence", row.fence } });
+    return json::serialize(
+        json::object { { "holder", row.holder }, { "fence", row.fencingToken } });
 }
 
 serving::LeaseRow decodeLease(const std::string &text)
@@ -52,8 +53,9 @@
         return row;
     if (const json::value *holder = object->if_contains("holder"); holder && holder->is_string())
         row.holder = std::string(holder->get_string());
-    if (const json::value *fence = object->if_contains("fence"); fence && fence->is_int64())
-        row.fence = fence->get_int64();
+    if (const json::value *fencingToken = object->if_contains("fence");
+        fencingToken && fencingToken->is_int64())
+        row.fencingToken = fencingToken->get_int64();
     return row;
 }
 
@@ -92,9 +94,10 @@
 
 platform::DutyHolder DutyRunner::holder() const
 {
-    const std::int64_t fence = m_lease.fence();
-    return { m_state.settings.instance, fence,
-             [this, fence] { return holdsLease() && m_lease.fence() == fence; } };
+    const std::int64_t fencingToken = m_lease.fencingToken();
+    return { m_state.settings.instance, fencingToken, [this, fencingToken] {
+                return holdsLease() && m_lease.fencingToken() == fencingToken;
+            } };
 }
 
 // --- Lease -----------------------------------------------------------------------------------
@@ -106,14 +109,14 @@
     co_await wire::sleepFor(milliseconds(static_cast<std::int64_t>(m_state.random.below(500))));
     while (!m_state.draining()) {
         const SteadyTime now = m_state.clock.steadyNow();
-        if (m_lease.wantsRead(now))
+        if (m_lease.isReadDue(now))
             co_await readLease();
-        else if (const auto write = m_lease.wantsWrite(now))
+        else if (const auto write = m_lease.dueWrite(now))
             co_await writeLease(*write);
         const bool held = holdsLease();
         if (held != m_wasHolder)
             logEvent(held ? events::DutyLeaseTaken : events::DutyLeaseLost,
-                     { { "fence", std::to_string(m_lease.fence()) } });
+                     { { "fence", std::to_string(m_lease.fencingToken()) } });
         m_wasHolder = held;
         co_await wire::sleepFor(LeaseTick);
     }
--- a/src/snipestall/gateway/duty_runner_fleet.cpp
+++ b/src/snipestall/gateway/duty_runner_fleet.cpp
@@ -56,18 +56,18 @@
     return counts;
 }
 
-Task<bool> DutyRunner::learnUsualFleet(const std::string &service)
+Task<bool> DutyRunner::initializePlanner(const std::string &service)
 {
     // Servers that start together with the system list themselves one after the other.
     if (m_state.clock.steadyNow() - m_state.serverAddedAt < m_state.settings.serverHeartbeat)
         co_return false;
-    std::map<std::string, int> usual;
+    std::map<std::string, int> initialFleet;
     for (const auto &[dataCentre, count] : countServers(service))
-        usual[dataCentre] = count.onDemand + count.reclaimable;
-    if (usual.empty())
+        initialFleet[dataCentre] = count.onDemand + count.reclaimable;
+    if (initialFleet.empty())
         co_return false;
     json::object object;
-    for (const auto &[dataCentre, count] : usual)
+    for (const auto &[dataCentre, count] : initialFleet)
         object[dataCentre] = count;
     const platform::RowName name { FleetTable, std::string(), service };
     std::vector<platform::RowCondition> conditions { { name, 0 } };
@@ -79,24 +79,25 @@
         const platform::StoredRow *row = rows ? findRow(*rows, service) : nullptr;
         if (row == nullptr)
             co_return false;
-        usual = decodeNumbers<int>(row->value);
+        initialFleet = decodeNumbers<int>(row->value);
     }
     m_planners.insert_or_assign(
-        service, serving::FleetPlanner(*m_state.catalogue->service(service)->scaling, usual));
+        service,
+        serving::FleetPlanner(*m_state.catalogue->service(service)->scaling, initialFleet));
     co_return true;
 }
 
 Task<void> DutyRunner::orderServers()
 {
     // A new holder does not know the orders of its predecessor, so it sends them again.
-    if (m_plannersFence != m_lease.fence())
+    if (m_plannersFencingToken != m_lease.fencingToken())
         m_planners.clear();
-    m_plannersFence = m_lease.fence();
+    m_plannersFencingToken = m_lease.fencingToken();
     const auto catalogue = m_state.catalogue;
     for (const auto &[name, service] : catalogue->services()) {
         if (!service.scaling)
             continue;
-        if (!m_planners.contains(name) && !co_await learnUsualFleet(name))
+        if (!m_planners.contains(name) && !co_await initializePlanner(name))
             continue;
         serving::FleetPlanner &planner = m_planners.at(name);
         const SteadyTime now = m_state.clock.steadyNow();
@@ -122,7 +123,7 @@
                        { "estimate", toString(planner.estimate()) },
                        { "needed", std::to_string(demand.servers) },
                        { "needed_now", std::to_string(demand.currentServers) },
-                       { "fence", std::to_string(m_lease.fence()) },
+                       { "fence", std::to_string(m_lease.fencingToken()) },
                        { "error", done ? std::string() : done.error().message } });
         }
     }
--- a/src/snipestall/gateway/duty_runner_usage.cpp
+++ b/src/snipestall/gateway/duty_runner_usage.cpp
@@ -211,13 +211,13 @@
     if (!done) {
         logEvent(events::UsageReportFailed,
                  { { "window", std::to_string(window) },
-                   { "fence", std::to_string(m_lease.fence()) },
+                   { "fence", std::to_string(m_lease.fencingToken()) },
                    { "error", done.error().message } });
         co_return false;
     }
     logEvent(events::UsageReported,
              { { "window", std::to_string(window) },
-               { "fence", std::to_string(m_lease.fence()) },
+               { "fence", std::to_string(m_lease.fencingToken()) },
                { "counts", encodeCounts(*counts) } });
     co_return true;
 }
--- a/src/snipestall/gateway/fleet_model.hpp
+++ b/src/snipestall/gateway/fleet_model.hpp
@@ -19,8 +19,8 @@
 public:
     static constexpr std::chrono::milliseconds Tick { 10 };
 
-    /// Creates `each` instances in each of `dataCentres`, which have been serving for some time.
-    FleetModel(int dataCentres, int each, const serving::Customer &customer,
+    /// Creates the instances of a fleet that has been serving for some time.
+    FleetModel(int dataCentres, int instancesPerDataCentre, const serving::Customer &customer,
                serving::QuotaTolerance tolerance = {});
 
     /// Sets the units per second that callers ask for, in requests of `requestUnits` each. They are
--- a/src/snipestall/gateway/fleet_model_test.cpp
+++ b/src/snipestall/gateway/fleet_model_test.cpp
@@ -19,13 +19,13 @@
 
 // --- The model -------------------------------------------------------------------------------
 
-FleetModel::FleetModel(int dataCentres, int each, const serving::Customer &customer,
-                       serving::QuotaTolerance tolerance)
+FleetModel::FleetModel(int dataCentres, int instancesPerDataCentre,
+                       const serving::Customer &customer, serving::QuotaTolerance tolerance)
     : m_customer(customer)
     , m_tolerance(tolerance)
 {
     for (int d = 0; d < dataCentres; ++d) {
-        for (int i = 0; i < each; ++i) {
+        for (int i = 0; i < instancesPerDataCentre; ++i) {
             const std::string dataCentre = "dc" + std::to_string(d);
             m_byName[dataCentre + "-" + std::to_string(1000 + i)] = m_instances.size();
             m_instances.emplace_back(dataCentre + "-" + std::to_string(1000 + i), dataCentre);
--- a/src/snipestall/gateway/gateway_state.cpp
+++ b/src/snipestall/gateway/gateway_state.cpp
@@ -17,7 +17,7 @@
     , retries(
           { settings.bounds.retryWindow, settings.bounds.retryRatio, settings.bounds.retrySlack })
     , usage(settings.bounds.usageWindow)
-    , memory(loop)
+    , kvCaches(loop)
     , loopLag(clock.steadyNow())
 {
     if (!settings.firstStart)
--- a/src/snipestall/gateway/request_relay.cpp
+++ b/src/snipestall/gateway/request_relay.cpp
@@ -149,7 +149,7 @@
 {
     m_callerGone |= m_caller->hasDisconnected();
     // A run that was moved to a server is already there.
-    const bool serves = server.takesWork() || !m_memoryFrom.empty();
+    const bool serves = server.takesWork() || !m_kvCacheSource.empty();
     return serves && !m_callerGone && !m_cancelled;
 }
 
@@ -172,15 +172,15 @@
         return false;
     if (m_maybeRan && (!m_route->mayRepeat() || m_runs >= m_route->attemptLimit))
         return false;
-    return m_state.retries.tryRepeat(m_demand.service->name, m_state.clock.steadyNow());
+    return m_state.retries.tryRepeat(m_placementRequest.service->name, m_state.clock.steadyNow());
 }
 
 Task<void> RequestRelay::serve()
 {
-    m_state.retries.countFirstAttempt(m_demand.service->name, m_received);
+    m_state.retries.countFirstAttempt(m_placementRequest.service->name, m_received);
     AttemptEnd last = AttemptEnd::NotRun;
     do {
-        const auto placed = m_state.placement.choose(m_demand, m_state.clock.steadyNow());
+        const auto placed = m_state.placement.choose(m_placementRequest, m_state.clock.steadyNow());
         if (!placed)
             break;
         last = co_await attempt(*placed);
@@ -268,13 +268,13 @@
         call.customer = m_customer->name;
     const auto left = m_callerDeadline - m_state.clock.steadyNow();
     call.deadline = std::max(std::chrono::duration_cast<milliseconds>(left), milliseconds(1));
-    if (m_demand.prompt) {
+    if (m_placementRequest.prompt) {
         const int priority = m_customer != nullptr && m_customer->priority ? *m_customer->priority
                                                                            : m_route->priority;
         call.priority = std::clamp(priority, 0, LowestPriority);
     }
     call.resumeAfter = m_lastEvent;
-    call.kvCacheSource = m_memoryFrom;
+    call.kvCacheSource = m_kvCacheSource;
     platform::writeServerHeader(from, call, request);
     request.body() = from.body();
     request.prepare_payload();
@@ -284,11 +284,11 @@
 Task<RequestRelay::AttemptEnd> RequestRelay::attempt(serving::ServerChoice placed)
 {
     const serving::ServerStatePtr server = placed.server;
-    m_demand.tried.insert(server->key);
+    m_placementRequest.tried.insert(server->key);
     ++m_sends;
     m_connectionRejected = false;
     ++m_state.counters.attempts;
-    const double held = m_demand.prompt ? m_demand.prompt->promptTokens : 0;
+    const double held = m_placementRequest.prompt ? m_placementRequest.prompt->promptTokens : 0;
     LoadGuard load(server, placed.unreadTokens, held);
     m_loadGuard = &load;
     m_sentAt = m_state.clock.steadyNow();
@@ -296,8 +296,8 @@
     m_unreadTokens = placed.unreadTokens;
     m_tokensAhead = placed.tokensAhead;
     if (m_unreadTokens > 0)
-        m_state.demand.promptSent(m_demand.service->name, m_unreadTokens);
-    m_state.placement.requestSent(m_demand, server->key, m_state.clock.steadyNow());
+        m_state.demand.promptSent(m_placementRequest.service->name, m_unreadTokens);
+    m_state.placement.requestSent(m_placementRequest, server->key, m_state.clock.steadyNow());
     m_call = std::make_shared<BackendCall>(m_state.io, m_state.backends, m_state.clock, server->key,
                                            server->info.address);
     const auto call = m_call;
@@ -330,12 +330,12 @@
     }
     stopStallWatch();
     stopReclaimWatch();
-    m_memoryFrom.clear();
+    m_kvCacheSource.clear();
     m_loadGuard = nullptr;
     m_call.reset();
-    if (!m_demand.prompt && start != CallStart::Unwanted)
-        m_state.demand.callEnded(m_demand.service->name, m_state.clock.steadyNow() - m_sentAt,
-                                 server->info.slots);
+    if (!m_placementRequest.prompt && start != CallStart::Unwanted)
+        m_state.demand.callEnded(m_placementRequest.service->name,
+                                 m_state.clock.steadyNow() - m_sentAt, server->info.slots);
     const auto firstByte = m_firstByteAt ? *m_firstByteAt - m_sentAt : SteadyTime::duration::zero();
     logEvent(events::GatewayAttemptEnded,
              { { "attempt", m_header.attemptId },
@@ -393,7 +393,7 @@
 {
     if (!m_route->mayRepeat() || m_runs + 1 >= m_route->attemptLimit || m_answer.begun())
         return;
-    const double rate = m_state.demand.readRate(m_demand.service->name);
+    const double rate = m_state.demand.readRate(m_placementRequest.service->name);
     std::chrono::duration<double> predicted { 0 };
     if (rate > 0)
         predicted = std::chrono::duration<double>((m_tokensAhead + m_unreadTokens) / rate);
@@ -411,7 +411,7 @@
     // The read rate of the engine can be measured only if no other prompt was ahead.
     if (m_unreadTokens <= 0 || m_tokensAhead > 0)
         return;
-    m_state.demand.promptRead(m_demand.service->name, m_unreadTokens,
+    m_state.demand.promptRead(m_placementRequest.service->name, m_unreadTokens,
                               m_state.clock.steadyNow() - m_sentAt);
 }
 
@@ -422,8 +422,8 @@
     const SteadyTime now = m_state.clock.steadyNow();
     const std::chrono::duration<double> waited = now - m_received;
     const std::chrono::duration<double> target = m_route->targetLatency;
-    m_state.latency.firstByte(m_demand.service->name, waited / target, now);
-    m_state.metrics.recordFirstByte(m_demand.service->name, now - m_received);
+    m_state.latency.firstByte(m_placementRequest.service->name, waited / target, now);
+    m_state.metrics.recordFirstByte(m_placementRequest.service->name, now - m_received);
 }
 
 void RequestRelay::recordCallerLeft()
--- a/src/snipestall/gateway/request_relay_admission.cpp
+++ b/src/snipestall/gateway/request_relay_admission.cpp
@@ -108,30 +108,30 @@
     const SteadyTime arrived = m_received - m_state.loopLag.last();
     m_callerDeadline = arrived + m_header.deadline.value_or(m_route->timeout);
     m_deadline = std::min(m_callerDeadline, arrived + m_route->timeout);
-    m_demand.service = m_catalogue->service(pickService(*m_route, m_state.random));
-    if (m_demand.service == nullptr)
+    m_placementRequest.service = m_catalogue->service(pickService(*m_route, m_state.random));
+    if (m_placementRequest.service == nullptr)
         co_return co_await refuse(refusal(503, RetryAfterNoServer), "unknown-service");
-    m_demand.prompt = m_header.prompt;
-    m_demand.mayRepeat = m_route->mayRepeat();
+    m_placementRequest.prompt = m_header.prompt;
+    m_placementRequest.mayRepeat = m_route->mayRepeat();
     m_lastEvent = m_header.resumeAfter;
     m_fingerprint = fingerprintOf(request, m_customer);
     if (!m_state.crashes.wasAnswered(m_fingerprint))
-        m_demand.unansweredFingerprint = m_fingerprint;
+        m_placementRequest.unansweredFingerprint = m_fingerprint;
     if (m_state.crashes.isBlocked(m_fingerprint, m_received))
         co_return co_await refuse(refusal(503, RetryAfterCrashes), "ends-servers");
     if (m_customer == nullptr)
         co_return true;
-    const auto verdict = m_state.quotas.take(m_customer->name, quotaUnits(), m_received);
-    if (verdict.admitted)
+    const auto decision = m_state.quotas.take(m_customer->name, quotaUnits(), m_received);
+    if (decision.admitted)
         co_return true;
     logEvent(events::QuotaRefused,
              { { "attempt", m_header.attemptId },
                { "customer", m_customer->name },
                { "units", integerText(quotaUnits()) },
-               { "free", integerText(verdict.free) },
-               { "rate", integerText(verdict.rate) },
-               { "retry_after_ms", std::to_string(verdict.retryAfter.count()) } });
-    co_return co_await refuse(refusal(429, verdict.retryAfter), "over-quota");
+               { "free", integerText(decision.free) },
+               { "rate", integerText(decision.rate) },
+               { "retry_after_ms", std::to_string(decision.retryAfter.count()) } });
+    co_return co_await refuse(refusal(429, decision.retryAfter), "over-quota");
 }
 
 double RequestRelay::quotaUnits() const
--- a/src/snipestall/gateway/request_relay_move.cpp
+++ b/src/snipestall/gateway/request_relay_move.cpp
@@ -28,8 +28,8 @@
 Task<void> callMove(GatewayState &state, std::shared_ptr<StreamMove> move,
                     serving::ServerStatePtr source, std::string attemptId, std::uint64_t lastEvent)
 {
-    auto moved = co_await state.memory.move(source->info.address, attemptId,
-                                            move->target->info.address, lastEvent, MoveTimeout);
+    auto moved = co_await state.kvCaches.move(source->info.address, attemptId,
+                                              move->target->info.address, lastEvent, MoveTimeout);
     logEvent(events::StreamMoved,
              { { "attempt", attemptId },
                { "from", source->info.id },
@@ -45,7 +45,8 @@
 
 void RequestRelay::watchForReclaim(const serving::ServerStatePtr &server)
 {
-    const bool movable = m_demand.service->engine && m_demand.service->engine->movesRuns;
+    const bool movable =
+        m_placementRequest.service->engine && m_placementRequest.service->engine->movesRuns;
     if (!movable || m_route->mayRepeat())
         return;
     m_streamHandle = m_state.streams.add({ server, [this, server] { beginMove(server); } });
@@ -61,12 +62,13 @@
 {
     const SteadyTime now = m_state.clock.steadyNow();
     // A run that has not begun has no memory to move.
-    if (!m_lastEvent || m_callerGone || !m_state.retries.tryRepeat(m_demand.service->name, now))
+    if (!m_lastEvent || m_callerGone
+        || !m_state.retries.tryRepeat(m_placementRequest.service->name, now))
         return;
-    serving::Demand demand = m_demand;
+    serving::PlacementRequest request = m_placementRequest;
     // The run may continue in any data centre, because only free capacity matters.
-    demand.mayRepeat = true;
-    const auto placed = m_state.placement.choose(demand, now);
+    request.mayRepeat = true;
+    const auto placed = m_state.placement.choose(request, now);
     if (!placed)
         return;
     m_move = std::make_shared<StreamMove>();
@@ -86,7 +88,7 @@
 serving::ServerChoice RequestRelay::finishMove()
 {
     const auto move = std::exchange(m_move, nullptr);
-    m_memoryFrom = move->moved->kvCacheSource;
+    m_kvCacheSource = move->moved->kvCacheSource;
     serving::ServerChoice placed;
     placed.server = move->target;
     return placed;
--- a/src/snipestall/gateway/store_follower.cpp
+++ b/src/snipestall/gateway/store_follower.cpp
@@ -45,7 +45,7 @@
 /// Log values, indexed by serving::Listing::Kind.
 constexpr std::array<const char *, 4> ListingNames { "added", "changed", "ignored", "returning" };
 
-std::int64_t bornMillis(const serving::BackendServer &server)
+std::int64_t startedAtMillis(const serving::BackendServer &server)
 {
     return std::chrono::duration_cast<milliseconds>(server.startedAt.time_since_epoch()).count();
 }
@@ -90,7 +90,8 @@
     if (feed->copy.table() != table || !feed->loaded)
         return;
     if (feed == &m_list && changes.to > feed->copy.version())
-        m_expiryWindow.listReceived(feed->copy.age(m_state.clock.steadyNow()), m_state.clock.steadyNow());
+        m_expiryWindow.listReceived(feed->copy.age(m_state.clock.steadyNow()),
+                                    m_state.clock.steadyNow());
     const std::int64_t known = feed->copy.version();
     if (feed->copy.advanceFromPeer(changes)) {
         for (const platform::StoredRow &row : changes.rows) {
@@ -129,10 +130,10 @@
         feed.copy.beginRead(m_state.clock.steadyNow());
         const auto rows = co_await m_store.read(feed.copy.table(), std::string(), ReadTimeout);
         if (!rows) {
-            failed(feed, rows.error());
+            handlePollError(feed, rows.error());
             co_return false;
         }
-        answered(feed, rows->storeTime);
+        handlePollAnswer(feed, rows->storeTime);
         logSkipped(feed, *rows);
         std::vector<platform::StoredRow> known = rows->rows;
         for (platform::StoredRow &removed : (this->*feed.snapshot)(*rows))
@@ -149,10 +150,10 @@
         co_return true;
     }
     if (!rows) {
-        failed(feed, rows.error());
+        handlePollError(feed, rows.error());
         co_return false;
     }
-    answered(feed, rows->storeTime);
+    handlePollAnswer(feed, rows->storeTime);
     logSkipped(feed, *rows);
     // A peer may have passed on some of the changes meanwhile.
     for (const platform::StoredRow &row : rows->rows) {
@@ -163,7 +164,7 @@
     co_return true;
 }
 
-void StoreFollower::answered(Feed &feed, milliseconds storeTime)
+void StoreFollower::handlePollAnswer(Feed &feed, milliseconds storeTime)
 {
     const SteadyTime now = m_state.clock.steadyNow();
     m_state.commonTime.observeStoreClock(storeTime, now);
@@ -175,7 +176,7 @@
     logEvent(events::StoreRegained, { { "table", feed.copy.table() } });
 }
 
-void StoreFollower::failed(Feed &feed, const Error &error)
+void StoreFollower::handlePollError(Feed &feed, const Error &error)
 {
     if (feed.storeUnavailable)
         return;
@@ -258,7 +259,7 @@
         forget(*listing.ended, "restarted");
     logEvent(events::ServerListed,
              { { "server", server->id },
-               { "born_ms", std::to_string(bornMillis(*server)) },
+               { "born_ms", std::to_string(startedAtMillis(*server)) },
                { "effect", ListingNames.at(static_cast<std::size_t>(listing.kind)) },
                { "service", server->service },
                { "data_centre", server->dataCentre },
@@ -319,7 +320,7 @@
     m_state.backends.drop(server.key);
     logEvent(events::ServerDelisted,
              { { "server", server.info.id },
-               { "born_ms", std::to_string(bornMillis(server.info)) },
+               { "born_ms", std::to_string(startedAtMillis(server.info)) },
                { "reason", reason } });
 }
 
@@ -329,9 +330,9 @@
     for (const auto &gone : m_state.servers.removeExpired(now))
         forget(*gone, "lapsed");
     for (const auto &back : m_state.servers.readmit(now))
-        logEvent(
-            events::ServerReadmitted,
-            { { "server", back->info.id }, { "born_ms", std::to_string(bornMillis(back->info)) } });
+        logEvent(events::ServerReadmitted,
+                 { { "server", back->info.id },
+                   { "born_ms", std::to_string(startedAtMillis(back->info)) } });
 }
 
 } // namespace snipestall::gateway
--- a/src/snipestall/peer/steward.cpp
+++ b/src/snipestall/peer/steward.cpp
@@ -99,9 +99,9 @@
     if (held == loggedHeld)
         return;
     loggedHeld = held;
-    logEvent(
-        held ? events::StewardLeaseTaken : events::StewardLeaseLost,
-        { { "data_centre", lease.rowKey().key }, { "fencing", std::to_string(lease.fencing()) } });
+    logEvent(held ? events::StewardLeaseTaken : events::StewardLeaseLost,
+             { { "data_centre", lease.rowKey().key },
+               { "fencing", std::to_string(lease.fencingToken()) } });
 }
 
 Task<void> Steward::State::releaseLease()
--- a/src/snipestall/peer/steward_lease.cpp
+++ b/src/snipestall/peer/steward_lease.cpp
@@ -15,7 +15,7 @@
     json::object object;
     object["holder"] = row.holder;
     object["incarnation"] = row.incarnation;
-    object["fencing"] = row.fencing;
+    object["fencing"] = row.fencingToken;
     object["term_ms"] = row.term.count();
     object["token"] = row.token;
     object["released"] = row.released;
@@ -30,7 +30,7 @@
         StewardRow steward;
         steward.holder = std::string(object.at("holder").as_string());
         steward.incarnation = object.at("incarnation").to_number<std::uint64_t>();
-        steward.fencing = object.at("fencing").to_number<std::uint64_t>();
+        steward.fencingToken = object.at("fencing").to_number<std::uint64_t>();
         steward.term = milliseconds(object.at("term_ms").to_number<std::int64_t>());
         steward.token = std::string(object.at("token").as_string());
         steward.released = object.at("released").as_bool();
@@ -92,7 +92,7 @@
     StewardRow next;
     next.holder = m_instance;
     next.incarnation = m_incarnation;
-    next.fencing = m_isHolder ? m_fencing : m_row.fencing + 1;
+    next.fencingToken = m_isHolder ? m_fencingToken : m_row.fencingToken + 1;
     next.term = m_options.term;
     next.token = m_tokenPrefix + "." + std::to_string(++m_tokens);
     return send(std::move(next), now);
@@ -124,10 +124,10 @@
     const PendingWrite taken = sent;
     // The previous holder's lease has ended, but an order that it sent just before may still be in
     // transit. The first order of this lease must come after it.
-    if (!m_isHolder || m_fencing != taken.row.fencing)
+    if (!m_isHolder || m_fencingToken != taken.row.fencingToken)
         m_ordersStart = taken.at + m_options.maxOrderDelay;
     m_isHolder = true;
-    m_fencing = taken.row.fencing;
+    m_fencingToken = taken.row.fencingToken;
     m_token = taken.row.token;
     m_leaseStart = taken.at;
     m_pendingWrite.reset();
@@ -162,7 +162,7 @@
     const SteadyTime ordersEnd = m_leaseStart + m_options.term - m_options.safetyMargin;
     if (!m_isHolder || now < m_ordersStart || now >= ordersEnd)
         return std::nullopt;
-    return m_fencing;
+    return m_fencingToken;
 }
 
 } // namespace snipestall::peer
--- a/src/snipestall/peer/steward_lease.hpp
+++ b/src/snipestall/peer/steward_lease.hpp
@@ -17,7 +17,7 @@
     std::string holder;
     std::uint64_t incarnation = 0;
     /// The fencing token.
-    std::uint64_t fencing = 0;
+    std::uint64_t fencingToken = 0;
     std::chrono::milliseconds term { 0 };
     /// Identifies one write, so that a holder recognizes a row that it has written itself.
     std::string token;
@@ -57,7 +57,7 @@
     [[nodiscard]] bool held(SteadyTime now) const;
     /// The fencing token if an order may be sent at `now`, otherwise no value.
     [[nodiscard]] std::optional<std::uint64_t> mayOrder(SteadyTime now) const;
-    [[nodiscard]] std::uint64_t fencing() const { return m_fencing; }
+    [[nodiscard]] std::uint64_t fencingToken() const { return m_fencingToken; }
 
 private:
     /// A write whose outcome is not known yet.
@@ -87,7 +87,7 @@
     std::optional<PendingWrite> m_pendingWrite;
     // The lease, if the table has accepted a write of this instance.
     bool m_isHolder = false;
-    std::uint64_t m_fencing = 0;
+    std::uint64_t m_fencingToken = 0;
     std::string m_token;
     SteadyTime m_leaseStart;
     SteadyTime m_ordersStart;
--- a/src/snipestall/peer/steward_test.cpp
+++ b/src/snipestall/peer/steward_test.cpp
@@ -149,7 +149,7 @@
     observe(one);
     m_table.apply(*one.release());
     round(two);
-    EXPECT_EQ(two.fencing(), 2U);
+    EXPECT_EQ(two.fencingToken(), 2U);
 }
 
 // A row that was edited by hand can't be decoded. Treating it as absent would start the fencing
--- a/src/snipestall/serving/duty_lease.cpp
+++ b/src/snipestall/serving/duty_lease.cpp
@@ -41,7 +41,7 @@
     return m_known && isOwn() && now < m_validUntil - SafetyMargin;
 }
 
-bool DutyLease::wantsRead(SteadyTime now) const
+bool DutyLease::isReadDue(SteadyTime now) const
 {
     if (isStandby(now))
         return false;
@@ -53,7 +53,7 @@
     return !reported && now - m_readAt >= m_length / 3;
 }
 
-std::optional<LeaseWrite> DutyLease::wantsWrite(SteadyTime now) const
+std::optional<LeaseWrite> DutyLease::dueWrite(SteadyTime now) const
 {
     if (!m_known || m_mustRead || isStandby(now))
         return std::nullopt;
@@ -67,14 +67,14 @@
         now - m_versionSeenAt > m_length && now - m_holderReportedAt > m_length / 2;
     if (!free && !expired)
         return std::nullopt;
-    return LeaseWrite { { m_self, m_row.fence + 1 }, m_version };
+    return LeaseWrite { { m_self, m_row.fencingToken + 1 }, m_version };
 }
 
 std::optional<LeaseWrite> DutyLease::release() const
 {
     if (!m_known || !isOwn())
         return std::nullopt;
-    return LeaseWrite { { std::string(), m_row.fence }, m_version };
+    return LeaseWrite { { std::string(), m_row.fencingToken }, m_version };
 }
 
 void DutyLease::rowRead(const LeaseRow &row, std::int64_t version, SteadyTime now)
--- a/src/snipestall/serving/duty_lease_test.cpp
+++ b/src/snipestall/serving/duty_lease_test.cpp
@@ -33,9 +33,9 @@
 /// One step of an instance that can reach the store.
 void step(DutyLease &lease, Row &row, SteadyTime now)
 {
-    if (lease.wantsRead(now))
+    if (lease.isReadDue(now))
         lease.rowRead(row.row(), row.version(), now);
-    else if (const auto write = lease.wantsWrite(now)) {
+    else if (const auto write = lease.dueWrite(now)) {
         if (row.write(*write))
             lease.rowWritten(*write, row.version(), now);
         else
@@ -54,7 +54,7 @@
         EXPECT_FALSE(second.holds(now));
         EXPECT_TRUE(first.holds(now) || now <= Start + 200ms);
     }
-    EXPECT_EQ(row.row().fence, 1);
+    EXPECT_EQ(row.row().fencingToken, 1);
 }
 
 // Guards against a thousand calls to the store within a few seconds: hundreds of instances start,
@@ -70,7 +70,7 @@
         step(candidate, row, now);
         if (candidate.holds(now))
             other.holderReported(now);
-        reads += other.wantsRead(now) ? 1 : 0;
+        reads += other.isReadDue(now) ? 1 : 0;
         step(other, row, now);
     }
     EXPECT_EQ(reads, 0);
@@ -112,7 +112,7 @@
         EXPECT_FALSE(first.holds(now) && second.holds(now));
     }
     ASSERT_NE(tookOver, SteadyTime {});
-    EXPECT_EQ(second.fence(), 2);
+    EXPECT_EQ(second.fencingToken(), 2);
     EXPECT_FALSE(first.holds(now));
     step(first, row, now);
     EXPECT_FALSE(first.holds(now));
@@ -136,7 +136,7 @@
     Row row;
     DutyLease lease("a/1", 3s);
     step(lease, row, Start);
-    const auto write = lease.wantsWrite(Start + 100ms);
+    const auto write = lease.dueWrite(Start + 100ms);
     ASSERT_TRUE(write);
     row.write(*write);
     lease.writeOutcomeUnknown();
@@ -144,7 +144,7 @@
     for (; now < Start + 3s; now += 100ms)
         step(lease, row, now);
     EXPECT_TRUE(lease.holds(now));
-    EXPECT_EQ(lease.fence(), 1);
+    EXPECT_EQ(lease.fencingToken(), 1);
 }
 
 TEST(DutyLease, ARestartedProcessDoesNotInheritTheLease)
@@ -174,7 +174,7 @@
     step(second, row, Start + 300ms);
     step(second, row, Start + 400ms);
     EXPECT_TRUE(second.holds(Start + 400ms));
-    EXPECT_EQ(second.fence(), 2);
+    EXPECT_EQ(second.fencingToken(), 2);
 }
 
 } // namespace
--- a/src/snipestall/serving/fleet_planner.cpp
+++ b/src/snipestall/serving/fleet_planner.cpp
@@ -13,16 +13,16 @@
     return Names.at(static_cast<std::size_t>(estimate));
 }
 
-FleetPlanner::FleetPlanner(ScalingPolicy policy, const std::map<std::string, int> &usual)
+FleetPlanner::FleetPlanner(ScalingPolicy policy, const std::map<std::string, int> &initial)
     : m_policy(std::move(policy))
 {
-    for (const auto &[dataCentre, count] : usual)
-        m_dataCentres[dataCentre].usual = count;
+    for (const auto &[dataCentre, count] : initial)
+        m_dataCentres[dataCentre].initial = count;
 }
 
-void FleetPlanner::updatePressure(double partOfTarget, SteadyTime now)
+void FleetPlanner::updatePressure(double fractionOfTarget, SteadyTime now)
 {
-    if (partOfTarget >= ShrinkThreshold || m_lowPressureSince == SteadyTime {})
+    if (fractionOfTarget >= ShrinkThreshold || m_lowPressureSince == SteadyTime {})
         m_lowPressureSince = now;
     // The servers ordered last must have started before their effect can be judged.
     const auto settled = m_policy.bootTime + RetryPause;
@@ -30,7 +30,7 @@
         return;
     // The fleet grows by reclaimable servers; while none are available, the effect of growing could
     // not be judged.
-    if (partOfTarget > GrowThreshold && !hasShortage()) {
+    if (fractionOfTarget > GrowThreshold && !hasShortage()) {
         m_scale = std::min(m_scale * GrowFactor, MaxScale);
         m_scaledAt = now;
         return;
@@ -42,18 +42,18 @@
     }
 }
 
-int FleetPlanner::usualTotal() const
+int FleetPlanner::initialTotal() const
 {
     int total = 0;
     for (const auto &[dataCentre, state] : m_dataCentres)
-        total += state.usual;
+        total += state.initial;
     return total;
 }
 
 int FleetPlanner::reclaimableWanted(FleetDemand demand) const
 {
     const auto dataCentres = static_cast<double>(std::max<std::size_t>(m_dataCentres.size(), 1));
-    const double minTotal = usualTotal() * MinPartOfUsual;
+    const double minTotal = initialTotal() * MinFleetFactor;
     const double total = std::max(demand.servers / TargetUtilisation, minTotal) * m_scale;
     // The other data centres have to carry the demand without any single one of them; if there is
     // only one data centre, it carries all of the demand itself.
@@ -103,7 +103,7 @@
         reclaimable += count.reclaimable;
     // Before the demand has been measured, the number that the operators started with is the best
     // guess. Before the first request no on-demand server is needed while the cheaper ones start.
-    int needed = demand.hasRequests ? usualTotal() : 0;
+    int needed = demand.hasRequests ? initialTotal() : 0;
     m_estimate = FleetEstimate::Usual;
     if (demand.servers > 0) {
         m_estimate = FleetEstimate::Demand;
--- a/src/snipestall/serving/latency_pressure.cpp
+++ b/src/snipestall/serving/latency_pressure.cpp
@@ -5,10 +5,10 @@
 
 namespace snipestall::serving {
 
-void LatencyPressure::firstByte(const std::string &service, double partOfTarget, SteadyTime now)
+void LatencyPressure::firstByte(const std::string &service, double fractionOfTarget, SteadyTime now)
 {
     auto &samples = m_services[service];
-    samples.push_back({ now, partOfTarget });
+    samples.push_back({ now, fractionOfTarget });
     if (samples.size() > MaxSamples)
         samples.pop_front();
 }
@@ -24,7 +24,7 @@
     std::vector<double> values;
     values.reserve(samples.size());
     for (const Sample &sample : samples)
-        values.push_back(sample.partOfTarget);
+        values.push_back(sample.fractionOfTarget);
     const auto at = values.begin()
         + static_cast<std::ptrdiff_t>(Quantile * static_cast<double>(values.size() - 1));
     std::nth_element(values.begin(), at, values.end());
--- a/src/snipestall/serving/placement.cpp
+++ b/src/snipestall/serving/placement.cpp
@@ -30,7 +30,7 @@
 /// reading its prompt again and of a late answer.
 constexpr double RemoteRepeatableTokens = 300;
 /// The rest of the KV cache is kept free for the output of the running requests.
-constexpr double UsableCachePart = 0.85;
+constexpr double UsableCacheFraction = 0.85;
 
 /// The id of the last part that is shared with other requests; 0 if there is none.
 std::uint64_t affinityPart(const Prompt &prompt)
@@ -63,7 +63,7 @@
     const int slots = std::max(server.info.slots, 1);
     if (load.inFlight >= static_cast<std::uint32_t>(slots))
         cost += (load.inFlight - slots + 1) * TokensPerQueuedRequest;
-    const double freeTokens = engine.cacheTokens * UsableCachePart - load.heldTokens;
+    const double freeTokens = engine.cacheTokens * UsableCacheFraction - load.heldTokens;
     if (neededTokens > freeTokens)
         cost += neededTokens - freeTokens;
     return cost;
@@ -79,13 +79,14 @@
     , m_random(seed)
 { }
 
-std::vector<ServerStatePtr> Placement::candidates(const Demand &demand, SteadyTime now) const
+std::vector<ServerStatePtr> Placement::candidates(const PlacementRequest &request,
+                                                  SteadyTime now) const
 {
     std::vector<ServerStatePtr> healthy;
     std::vector<ServerStatePtr> avoided;
     for (const auto &[id, server] : m_servers.all()) {
-        if (server->info.service != demand.service->name || !server->takesWork()
-            || demand.tried.contains(server->key))
+        if (server->info.service != request.service->name || !server->takesWork()
+            || request.tried.contains(server->key))
             continue;
         (m_servers.usable(*server, now) ? healthy : avoided).push_back(server);
     }
@@ -93,14 +94,14 @@
     return healthy.empty() ? avoided : healthy;
 }
 
-std::optional<ServerChoice> Placement::choose(const Demand &demand, SteadyTime now)
+std::optional<ServerChoice> Placement::choose(const PlacementRequest &request, SteadyTime now)
 {
-    const std::vector<ServerStatePtr> servers = candidates(demand, now);
+    const std::vector<ServerStatePtr> servers = candidates(request, now);
     if (servers.empty())
         return std::nullopt;
-    if (demand.prompt && demand.service->engine)
-        return chooseForPrompt(demand, servers, now);
-    return chooseForCall(demand, servers, now);
+    if (request.prompt && request.service->engine)
+        return chooseForPrompt(request, servers, now);
+    return chooseForCall(request, servers, now);
 }
 
 double Placement::uncached(const Prompt &prompt, const ServerState &server,
@@ -117,11 +118,11 @@
     return std::max(0.0, prompt.promptTokens - cachedTokens);
 }
 
-ServerChoice Placement::chooseForPrompt(const Demand &demand,
+ServerChoice Placement::chooseForPrompt(const PlacementRequest &request,
                                         const std::vector<ServerStatePtr> &servers,
                                         SteadyTime now) const
 {
-    const Prompt &prompt = *demand.prompt;
+    const Prompt &prompt = *request.prompt;
     const std::string preferred = preferredServer(prompt, servers);
     ServerChoice best;
     double bestCost = std::numeric_limits<double>::infinity();
@@ -131,10 +132,10 @@
         const double toRead = uncached(prompt, *server, preferred, now);
         const bool remote = server->info.dataCentre != m_dataCentre;
         const double remoteTokens =
-            demand.mayRepeat ? RemoteRepeatableTokens : RemoteUnrepeatableTokens;
+            request.mayRepeat ? RemoteRepeatableTokens : RemoteUnrepeatableTokens;
         const double cost = (load.pendingTokens + toRead) * server->speed.slowness()
             + (remote ? remoteTokens : 0)
-            + runningCost(*server, load, *demand.service->engine,
+            + runningCost(*server, load, *request.service->engine,
                           prompt.promptTokens + prompt.maxOutputTokens);
         if (cost >= bestCost)
             continue;
@@ -150,17 +151,17 @@
 // to have crashed. For a request that no server has answered yet, the random number is therefore
 // derived from the request itself, so that its copies go to one server while other requests are
 // still spread. A request that has been answered may be sent by thousands of callers.
-double Placement::tieBreak(const Demand &demand, const ServerState &server)
+double Placement::tieBreak(const PlacementRequest &request, const ServerState &server)
 {
-    if (!demand.unansweredFingerprint)
+    if (!request.unansweredFingerprint)
         return m_random.uniform();
     const std::uint64_t hash =
-        stableHash(std::to_string(*demand.unansweredFingerprint) + server.key);
+        stableHash(std::to_string(*request.unansweredFingerprint) + server.key);
     return static_cast<double>(hash)
         / static_cast<double>(std::numeric_limits<std::uint64_t>::max());
 }
 
-ServerChoice Placement::chooseForCall(const Demand &demand,
+ServerChoice Placement::chooseForCall(const PlacementRequest &request,
                                       const std::vector<ServerStatePtr> &servers, SteadyTime now)
 {
     ServerChoice best;
@@ -173,7 +174,7 @@
         // its load.
         const bool remote = server->info.dataCentre != m_dataCentre;
         const double cost = load.inFlight / slots + server->health.failureRate()
-            + tieBreak(demand, *server) / slots + (remote ? RemoteCallCost : 0);
+            + tieBreak(request, *server) / slots + (remote ? RemoteCallCost : 0);
         if (cost >= bestCost)
             continue;
         bestCost = cost;
@@ -182,12 +183,13 @@
     return best;
 }
 
-void Placement::requestSent(const Demand &demand, const std::string &server, SteadyTime now)
+void Placement::requestSent(const PlacementRequest &request, const std::string &server,
+                            SteadyTime now)
 {
-    if (!demand.prompt)
+    if (!request.prompt)
         return;
-    for (std::size_t i = 0; i + 1 < demand.prompt->parts.size(); ++i)
-        m_cached.recordUse(demand.prompt->parts[i].id, server, now);
+    for (std::size_t i = 0; i + 1 < request.prompt->parts.size(); ++i)
+        m_cached.recordUse(request.prompt->parts[i].id, server, now);
 }
 
 void Placement::forgetServer(const std::string &server)
--- a/src/snipestall/serving/placement_test.cpp
+++ b/src/snipestall/serving/placement_test.cpp
@@ -41,23 +41,23 @@
         m_servers.put(server, Start);
     }
 
-    Demand generation(std::uint64_t sharedPart, std::uint32_t tokens)
+    PlacementRequest generation(std::uint64_t sharedPart, std::uint32_t tokens)
     {
-        Demand demand;
-        demand.service = &m_engines;
+        PlacementRequest request;
+        request.service = &m_engines;
         Prompt prompt;
         prompt.promptTokens = tokens;
         prompt.maxOutputTokens = 300;
         prompt.parts = { { 1, 500 }, { sharedPart, 4000 }, { ++m_ownPart, tokens - 4500 } };
-        demand.prompt = prompt;
-        return demand;
+        request.prompt = prompt;
+        return request;
     }
 
-    Demand call()
+    PlacementRequest call()
     {
-        Demand demand;
-        demand.service = &m_plain;
-        return demand;
+        PlacementRequest request;
+        request.service = &m_plain;
+        return request;
     }
 
     Service m_engines;
@@ -93,9 +93,9 @@
 {
     std::set<std::string> used;
     for (int i = 0; i < 12; ++i) {
-        const Demand demand = generation(42, 6000);
-        const auto placed = m_placement.choose(demand, Start);
-        m_placement.requestSent(demand, placed->server->info.id, Start);
+        const PlacementRequest request = generation(42, 6000);
+        const auto placed = m_placement.choose(request, Start);
+        m_placement.requestSent(request, placed->server->info.id, Start);
         placed->server->own.pendingTokens += placed->unreadTokens;
         ++placed->server->own.inFlight;
         used.insert(placed->server->info.id);
@@ -124,16 +124,16 @@
     for (int i = 0; i < 6; ++i)
         add("lm", "lm-far-" + std::to_string(i), 64, "west");
     for (std::uint64_t part = 10; part < 60; ++part) {
-        Demand demand = generation(part, 5000);
-        demand.prompt->parts = { { 1, 500 }, { part, 200 }, { ++m_ownPart, 4300 } };
-        demand.mayRepeat = false;
-        EXPECT_EQ(m_placement.choose(demand, Start)->server->info.dataCentre, "east") << part;
+        PlacementRequest request = generation(part, 5000);
+        request.prompt->parts = { { 1, 500 }, { part, 200 }, { ++m_ownPart, 4300 } };
+        request.mayRepeat = false;
+        EXPECT_EQ(m_placement.choose(request, Start)->server->info.dataCentre, "east") << part;
     }
     for (int i = 0; i < 6; ++i)
         m_servers.find("lm-" + std::to_string(i))->own.pendingTokens = 20000;
-    Demand demand = generation(5, 5000);
-    demand.mayRepeat = false;
-    EXPECT_EQ(m_placement.choose(demand, Start)->server->info.dataCentre, "west");
+    PlacementRequest request = generation(5, 5000);
+    request.mayRepeat = false;
+    EXPECT_EQ(m_placement.choose(request, Start)->server->info.dataCentre, "west");
 }
 
 // Guards against long prompts that are late one time in three: a third of the servers is slower,
@@ -177,10 +177,10 @@
     Placement other(m_servers, m_peers, "east", Seed + 1);
     std::set<std::string> used;
     for (std::uint64_t fingerprint = 1; fingerprint <= 40; ++fingerprint) {
-        Demand demand = call();
-        demand.unansweredFingerprint = fingerprint;
-        const std::string server = m_placement.choose(demand, Start)->server->key;
-        EXPECT_EQ(other.choose(demand, Start)->server->key, server);
+        PlacementRequest request = call();
+        request.unansweredFingerprint = fingerprint;
+        const std::string server = m_placement.choose(request, Start)->server->key;
+        EXPECT_EQ(other.choose(request, Start)->server->key, server);
         used.insert(server);
     }
     EXPECT_EQ(used.size(), 4U);
@@ -231,14 +231,14 @@
 
 TEST_F(PlacementTest, LeavingAndTriedServersGetNothing)
 {
-    Demand demand = call();
+    PlacementRequest request = call();
     BackendServer leaving = m_servers.find("ledger-0")->info;
     leaving.leaving = true;
     m_servers.put(leaving, Start);
-    demand.tried = { m_servers.find("ledger-1")->key, m_servers.find("ledger-2")->key };
-    EXPECT_EQ(m_placement.choose(demand, Start)->server->info.id, "ledger-3");
-    demand.tried.insert(m_servers.find("ledger-3")->key);
-    EXPECT_FALSE(m_placement.choose(demand, Start).has_value());
+    request.tried = { m_servers.find("ledger-1")->key, m_servers.find("ledger-2")->key };
+    EXPECT_EQ(m_placement.choose(request, Start)->server->info.id, "ledger-3");
+    request.tried.insert(m_servers.find("ledger-3")->key);
+    EXPECT_FALSE(m_placement.choose(request, Start).has_value());
 }
 
 } // namespace
--- a/src/snipestall/serving/quota_keeper.cpp
+++ b/src/snipestall/serving/quota_keeper.cpp
@@ -217,7 +217,7 @@
     // A request larger than the whole burst runs once the bucket is full, and leaves a debt.
     if (m_peers.empty() && !isJoining(now))
         return free >= std::min(units, bucket.burst) ? 1 : 0;
-    if (free >= std::min(units + bucket.burst * UnrestrictedPart, bucket.burst))
+    if (free >= std::min(units + bucket.burst * UnrestrictedFraction, bucket.burst))
         return 1;
     const double share = refillShare(now);
     const double maxDebt = bucket.burst * MaxDebtForTiny * share;
@@ -239,7 +239,7 @@
     return std::chrono::duration_cast<milliseconds>(pause);
 }
 
-QuotaVerdict QuotaKeeper::take(const std::string &customer, double units, SteadyTime now)
+QuotaDecision QuotaKeeper::take(const std::string &customer, double units, SteadyTime now)
 {
     const auto found = m_buckets.find(customer);
     if (found == m_buckets.end())
--- a/src/snipestall/serving/quota_keeper_test.cpp
+++ b/src/snipestall/serving/quota_keeper_test.cpp
@@ -163,11 +163,11 @@
         quotas.updatePeerUse(name, { 1, 1 }, {}, Start);
     quotas.updatePeerUse("listed", { 1, 1 }, {}, Start + 2s);
     double taken = 0;
-    QuotaVerdict verdict;
-    while ((verdict = quotas.take("harbour", 10, Start + 2s)).admitted)
+    QuotaDecision decision;
+    while ((decision = quotas.take("harbour", 10, Start + 2s)).admitted)
         taken += 10;
     // Two of four instances report: half of the rate for two seconds.
-    EXPECT_NEAR(taken + verdict.free, 1000, 1);
+    EXPECT_NEAR(taken + decision.free, 1000, 1);
 }
 
 // Guards against a customer that gets several times its quota while a data centre is cut off:
@@ -185,11 +185,11 @@
         quotas.configure({ customer(1000, 1000) }, Start + passed);
     }
     double taken = 0;
-    QuotaVerdict verdict;
-    while ((verdict = quotas.take("harbour", 10, Start + 2s)).admitted)
+    QuotaDecision decision;
+    while ((decision = quotas.take("harbour", 10, Start + 2s)).admitted)
         taken += 10;
     // Half of the rate for two seconds.
-    EXPECT_NEAR(taken + verdict.free, 1000, 1);
+    EXPECT_NEAR(taken + decision.free, 1000, 1);
 }
 
 // Guards against a customer that gets far more than its quota right after all instances were killed
--- a/src/snipestall/serving/retry_allowance.cpp
+++ b/src/snipestall/serving/retry_allowance.cpp
@@ -22,23 +22,23 @@
 
 void RetryAllowance::countFirstAttempt(const std::string &service, SteadyTime now)
 {
-    ++slice(service, now).firsts;
+    ++slice(service, now).firstAttempts;
 }
 
 bool RetryAllowance::tryRepeat(const std::string &service, SteadyTime now)
 {
     Slice &current = slice(service, now);
     const std::int64_t oldest = sliceNumber(now) - static_cast<std::int64_t>(Slices);
-    double firsts = 0;
+    double firstAttempts = 0;
     double repeats = 0;
     for (const Slice &each : m_services[service]) {
         if (each.number <= oldest)
             continue;
-        firsts += each.firsts;
+        firstAttempts += each.firstAttempts;
         repeats += each.repeats;
     }
-    const double allowed = UsedPart
-        * (m_limits.ratio * firsts
+    const double allowed = UsedFraction
+        * (m_limits.ratio * firstAttempts
            + m_limits.slack / static_cast<double>(std::max<std::size_t>(m_instances, 1)));
     if (repeats + 1 > allowed)
         return false;
--- a/src/snipestall/serving/server_speed.cpp
+++ b/src/snipestall/serving/server_speed.cpp
@@ -12,10 +12,10 @@
         *m_pause += (pause - *m_pause) * Smoothing;
 }
 
-void ServerSpeed::compareWith(std::chrono::duration<double> usual)
+void ServerSpeed::compareWith(std::chrono::duration<double> medianPause)
 {
-    if (m_pause && usual.count() > 0)
-        m_slowness = std::clamp(*m_pause / usual, MinSlowness, MaxSlowness);
+    if (m_pause && medianPause.count() > 0)
+        m_slowness = std::clamp(*m_pause / medianPause, MinSlowness, MaxSlowness);
 }
 
 } // namespace snipestall::serving
