--- a/include/snipestall/entry/caller_api.hpp
+++ b/include/snipestall/entry/caller_api.hpp
@@ -89,6 +89,7 @@
     /// Peers that may have the request: its home if known, then the likely holders of its replica.
     [[nodiscard]] std::vector<std::string> candidateInstances(const std::string &id,
                                                               const std::string &home) const;
+    /// Copies the output of a request on another instance into `mirror`.
     wire::Task<void> fillMirror(RequestPtr mirror, std::shared_ptr<peer::ForwardCall> call);
     /// Returns false if the deadline or the idempotency key of the call is invalid.
     bool fillSpec(const Call &call, const settings::ServiceSettings &service, RequestSpec &spec);
--- a/include/snipestall/gateway/backend_call.hpp
+++ b/include/snipestall/gateway/backend_call.hpp
@@ -91,6 +91,7 @@
     wire::Task<void> writeRequest();
     wire::Task<boost::system::error_code> readHead(SteadyTime deadline);
     wire::Task<boost::system::error_code> discardBody(SteadyTime deadline);
+    /// Returns an unused connection to the pool if it can be reused, and closes it otherwise.
     void releaseUnsent(bool connected);
     void resetParser();
     void keepConnection();
--- a/include/snipestall/gateway/duty_runner.hpp
+++ b/include/snipestall/gateway/duty_runner.hpp
@@ -63,6 +63,8 @@
     wire::Task<void> removeCounts(std::int64_t window);
 
     wire::Task<void> orderServers();
+    /// Creates the planner of a service from its initial number of servers, which the first holder
+    /// stores. Returns false while that number is not known.
     wire::Task<bool> initializePlanner(const std::string &service);
     [[nodiscard]] std::map<std::string, serving::FleetCount>
     countServers(const std::string &service) const;
--- a/include/snipestall/gateway/report_book.hpp
+++ b/include/snipestall/gateway/report_book.hpp
@@ -42,6 +42,7 @@
     /// A source that has not reported for longer has stopped or is cut off, so its requests at
     /// servers have ended.
     static constexpr std::chrono::milliseconds LoadsKeptFor { 2500 };
+    /// A source that has not reported for longer counts as stopped.
     static constexpr std::chrono::milliseconds CountedFor { 12000 };
     /// Several intervals. A source that has not reported for longer may be behind a network
     /// partition.
--- a/include/snipestall/gateway/request_relay.hpp
+++ b/include/snipestall/gateway/request_relay.hpp
@@ -75,6 +75,7 @@
     wire::Task<AttemptEnd> dropAnswer(serving::ServerState &server);
     /// Head of the server's answer as it is passed on to the caller.
     [[nodiscard]] boost::beast::http::response_header<> answerHead();
+    /// Ends a request that no attempt has answered. `last` is the result of the last attempt.
     wire::Task<void> finishUnserved(AttemptEnd last);
 
     [[nodiscard]] BackendCall::Request serverRequest(const serving::ServerState &server) const;
@@ -103,6 +104,7 @@
     void beginMove(const serving::ServerStatePtr &source);
     /// Waits for a move that is in progress; returns true if the run continues at another server.
     wire::Task<bool> awaitMove();
+    /// Returns the target of a completed move as the choice for the next attempt.
     serving::ServerChoice finishMove();
     void handleCallerLeft();
     void recordCallerLeft();
@@ -136,14 +138,16 @@
     std::optional<AttemptWatch::Handle> m_stallHandle;
     std::optional<StreamWatch::Handle> m_streamHandle;
     std::shared_ptr<StreamMove> m_move;
-    /// Location of the memory of the run that the next attempt continues.
+    /// Location of the KV cache of the run that the next attempt continues.
     std::string m_kvCacheSource;
     std::uint64_t m_fingerprint = 0;
     /// Key of the server that last cut off an answer.
     std::string m_lastLostServer;
     /// Whether the last server refused or reset the connection.
     bool m_connectionRejected = false;
+    /// Number of attempts that a server may have run.
     int m_runs = 0;
+    /// Number of attempts that were begun, including those that no server ran.
     int m_sends = 0;
     /// Set while an attempt waits for its first byte.
     LoadGuard *m_loadGuard = nullptr;
--- a/include/snipestall/gateway/stream_move.hpp
+++ b/include/snipestall/gateway/stream_move.hpp
@@ -12,7 +12,7 @@
 {
     serving::ServerStatePtr target;
     bool ended = false;
-    /// Set when the run has stopped and its memory is at the target.
+    /// Set when the run has stopped and its KV cache is at the target.
     std::optional<platform::MovedStream> moved;
 };
 
--- a/include/snipestall/serving/crash_watch.hpp
+++ b/include/snipestall/serving/crash_watch.hpp
@@ -12,8 +12,8 @@
 
 namespace snipestall::serving {
 
-/// Reports that a request, named by its fingerprint, was in flight at a server when that server
-/// crashed.
+/// Reports that a request, identified by its fingerprint, was in flight at a server when that
+/// server crashed.
 struct CrashReport
 {
     std::uint64_t fingerprint = 0;
--- a/include/snipestall/serving/demand_meter.hpp
+++ b/include/snipestall/serving/demand_meter.hpp
@@ -51,7 +51,9 @@
     [[nodiscard]] double readRate(const std::string &service) const;
 
 private:
+    /// Number of newest measured read rates that are kept for each service.
     static constexpr std::size_t MaxRates = 96;
+    /// Fewer measured read rates give no estimate.
     static constexpr std::size_t MinRates = 8;
     /// Shorter prompts measure the engine's fixed delays rather than its read rate.
     static constexpr double MinPromptTokens = 3000;
@@ -82,6 +84,7 @@
         double servers = 0;
     };
 
+    /// Measured read rates, by service, oldest first.
     std::unordered_map<std::string, std::deque<double>> m_rates;
     std::unordered_map<std::string, double> m_bestRate;
     ServiceWork m_ownWork;
--- a/include/snipestall/serving/duty_lease.hpp
+++ b/include/snipestall/serving/duty_lease.hpp
@@ -27,8 +27,8 @@
     std::int64_t expectedVersion = 0;
 };
 
-/// Decides which instance may act alone. The class does no I/O: its user reads and writes the row
-/// and reports the results.
+/// Decides which instance may act on behalf of all. The class does no I/O: its user reads and
+/// writes the row and reports the results.
 ///
 /// Failure: the holder is suspended, its lease expires and another instance takes over; then the
 /// first one resumes and continues to act. It shows as two instances that act alternately. The
@@ -52,9 +52,9 @@
     /// Whether this instance may act now.
     [[nodiscard]] bool holds(SteadyTime now) const;
     [[nodiscard]] std::int64_t fencingToken() const { return m_row.fencingToken; }
-    /// Whether the row should be read or written now, depending also on when the holder last
-    /// reported.
+    /// Whether the row should be read now, depending also on when the holder last reported.
     [[nodiscard]] bool isReadDue(SteadyTime now) const;
+    /// The write that takes or renews the lease, if one should be sent now.
     [[nodiscard]] std::optional<LeaseWrite> dueWrite(SteadyTime now) const;
     /// The write that releases the lease; nothing if this instance does not hold it.
     [[nodiscard]] std::optional<LeaseWrite> release() const;
--- a/include/snipestall/serving/expiry_window.hpp
+++ b/include/snipestall/serving/expiry_window.hpp
@@ -14,8 +14,8 @@
 /// themselves again. It shows as an instance without servers, or, because an id that has left is
 /// not accepted again, permanently with too few. An instance that receives the list again after a
 /// gap that is long enough for this, from the store or from a peer, therefore keeps disappearing
-/// entries for a while. That while is shorter than the time after which a server that really leaves
-/// must not get new requests.
+/// entries for a limited time, which is shorter than the time after which a server that really
+/// leaves must not get new requests.
 class ExpiryWindow
 {
 public:
--- a/include/snipestall/serving/fleet_planner.hpp
+++ b/include/snipestall/serving/fleet_planner.hpp
@@ -99,7 +99,7 @@
     /// Utilisation at which queues stay short: on a server that is busy a third of the time, a
     /// prompt rarely waits for a long one.
     static constexpr double TargetUtilisation = 0.35;
-    /// Utilisation above which prompts queue up behind each other; on-demand servers keep the fleet
+    /// Utilisation above which prompts queue behind each other; on-demand servers keep the fleet
     /// below it. They cost at least five times as much as reclaimable ones: in a long shortage of
     /// those, a limit of 0.6 cost twice as many servers and served no more callers in time.
     static constexpr double MaxUtilisation = 0.8;
--- a/include/snipestall/serving/overlay.hpp
+++ b/include/snipestall/serving/overlay.hpp
@@ -27,7 +27,7 @@
 /// hubs are the instances with the most processor time, because a hub that handles its members'
 /// reports late also serves its own callers late. Every instance computes the hubs from what it
 /// knows, and an instance that is called as a hub acts as one, so views that differ for a moment
-/// only cost a detour.
+/// only add a hop to some reports.
 class Overlay
 {
 public:
--- a/include/snipestall/serving/prompt.hpp
+++ b/include/snipestall/serving/prompt.hpp
@@ -14,7 +14,7 @@
     std::uint32_t tokens = 0;
 };
 
-/// What is known of a generation before it runs.
+/// What is known of a text generation before it runs.
 struct Prompt
 {
     std::string model;
--- a/include/snipestall/serving/quota_keeper.hpp
+++ b/include/snipestall/serving/quota_keeper.hpp
@@ -71,10 +71,10 @@
 /// Load: a customer sends several times its quota to all instances at once. Harm: if each instance
 /// admitted from the whole quota, the instances would exceed it by a factor of their number; if
 /// each admitted a fixed part, they would refuse requests of a customer whose connections hash to
-/// few instances. Each instance therefore keeps the whole bucket, drains it by its own use and by
-/// the use that its peers report, and assumes that each peer continues at its last observed rate
-/// until the next report arrives. The share of a known peer that has not reported recently is not
-/// refilled, because that peer may still be serving behind a network partition.
+/// few instances. Each instance therefore keeps the whole bucket, subtracts its own use and the use
+/// that its peers report, and assumes that each peer continues at its last observed rate until the
+/// next report arrives. The share of a known peer that has not reported recently is not refilled,
+/// because that peer may still be serving behind a network partition.
 ///
 /// While more is requested than is available, instances that all see the bucket fill up would all
 /// admit requests at the same moment and then refuse everything until the debt is paid, and small
@@ -194,14 +194,15 @@
                                                     const std::string &customer);
     /// Estimated use of the peers since their last reports.
     [[nodiscard]] double estimatedPeerUse(const std::string &customer, SteadyTime now) const;
-    /// Drains the estimated use of all instances since the last report of `hub`, at the last
-    /// observed rates.
+    /// Subtracts the estimated use of all instances since the last report of `hub`, at the last
+    /// observed rates, from the buckets.
     void chargeEstimatedUse(PeerUse &hub, SteadyTime now);
+    /// Calls chargeEstimatedUse() if the reports of the hub are overdue.
     void chargeOverdueHub(SteadyTime now);
     /// Records the levels at the time of the report of `hub`.
     void recordLevels(PeerUse &hub);
     [[nodiscard]] double ownTaken(const std::string &customer) const;
-    /// Gives back what was drained as an estimate since the last report of `hub`.
+    /// Gives back what was subtracted as an estimate since the last report of `hub`.
     void refundCharged(PeerUse &hub);
     void recordDemand(const std::string &customer, double units, SteadyTime now);
     /// Units per second that are requested from all instances, including a request of `units` that
--- a/include/snipestall/serving/retry_allowance.hpp
+++ b/include/snipestall/serving/retry_allowance.hpp
@@ -42,9 +42,10 @@
     bool tryRepeat(const std::string &service, SteadyTime now);
 
 private:
+    /// Number of slices into which the window is divided for counting.
     static constexpr std::size_t Slices = 20;
-    /// The rest is kept in reserve, because windows slide at both ends and the instances count
-    /// separately.
+    /// Fraction of the limit that is used. The rest is a reserve, because windows slide at both
+    /// ends and the instances count separately.
     static constexpr double UsedFraction = 0.7;
 
     struct Slice
--- a/include/snipestall/serving/server_health.hpp
+++ b/include/snipestall/serving/server_health.hpp
@@ -9,7 +9,7 @@
 /// What this instance has observed of the answers of one backend server.
 ///
 /// Failure: a backend server fails or drops requests although its health check succeeds, or only
-/// this instance cannot reach it. It shows as failed attempts at this server while its neighbours
+/// this instance cannot reach it. It shows as failed attempts at this server while other servers
 /// answer. Passive counts need no probes and cannot be wrong about what callers get. A server that
 /// was lost is avoided for a pause, which doubles with each further loss without an answer in
 /// between, up to a limit, so that a server that has recovered is found again by at most one
--- a/include/snipestall/serving/server_table.hpp
+++ b/include/snipestall/serving/server_table.hpp
@@ -122,7 +122,9 @@
         SteadyTime readmitAt;
     };
 
+    /// Removes the current incarnation of a server and returns it; null if none is listed.
     ServerStatePtr drop(const std::string &id);
+    /// Handles an entry of an incarnation that had left the list.
     PutResult awaitRenewals(const BackendServer &server, SteadyTime now);
     void update(ServerState &state, const BackendServer &server, SteadyTime now) const;
 
--- a/src/snipestall/gateway/request_relay_move.cpp
+++ b/src/snipestall/gateway/request_relay_move.cpp
@@ -61,7 +61,7 @@
 void RequestRelay::beginMove(const serving::ServerStatePtr &source)
 {
     const SteadyTime now = m_state.clock.steadyNow();
-    // A run that has not begun has no memory to move.
+    // A run that has not begun has no KV cache to move.
     if (!m_lastEvent || m_callerGone
         || !m_state.retries.tryRepeat(m_placementRequest.service->name, now))
         return;
--- a/src/snipestall/gateway/store_follower.cpp
+++ b/src/snipestall/gateway/store_follower.cpp
@@ -42,7 +42,7 @@
 /// Faulty rows are logged once each. After this many different ones they are logged again.
 constexpr std::size_t MaxFaultyLogged = 200;
 
-/// Log values, indexed by serving::Listing::Kind.
+/// Log values, indexed by serving::PutResult::Kind.
 constexpr std::array<const char *, 4> ListingNames { "added", "changed", "ignored", "returning" };
 
 std::int64_t startedAtMillis(const serving::BackendServer &server)
--- a/src/snipestall/policy/fake_fleet.hpp
+++ b/src/snipestall/policy/fake_fleet.hpp
@@ -48,6 +48,7 @@
         std::vector<Dispatch> dispatches;
         std::vector<MoveStream> moves;
         std::vector<ForwardTo> forwards;
+        /// Requests that ran on the same server at the same time.
         std::vector<std::uint64_t> beside;
         int ends = 0;
         std::uint32_t produced = 0;
@@ -145,6 +146,7 @@
         return event.request;
     }
 
+    /// Steps the world at the present time with these events and executes its commands.
     void give(Event event) { give(std::vector<Event> { std::move(event) }); }
 
     void give(const std::vector<Event> &events)
@@ -202,6 +204,7 @@
     Time now { std::chrono::seconds(1000) };
     std::map<std::uint64_t, Backend> servers;
     std::map<std::uint64_t, Outcome> outcomes;
+    /// Commands of the last step, and of all steps.
     std::vector<Command> last;
     std::vector<Command> log;
     /// Descriptions of violated invariants.
--- a/src/snipestall/policy/health.cpp
+++ b/src/snipestall/policy/health.cpp
@@ -302,7 +302,7 @@
     summary.tokenTime = std::chrono::duration_cast<Duration>(workTime);
     summary.failureRate = medianOf(std::move(samples.failureRates));
     summary.ejected = static_cast<std::uint32_t>(statistics.ejected);
-    // A server on probation counts as ejected, not as one that takes work.
+    // A server that is being probed counts as ejected, not as one that takes work.
     summary.servers -= std::min(summary.servers, static_cast<std::uint32_t>(pool.probing.size()));
 }
 
--- a/src/snipestall/policy/health.hpp
+++ b/src/snipestall/policy/health.hpp
@@ -29,8 +29,8 @@
 /// Records that an attempt on an owned server failed; its request must still hold the slot.
 void observeFailure(State &state, const Request &request);
 
-/// A server on probation on which this request may be run as a probe; null when there is none,
-/// which is the usual case.
+/// A server in HealthState::Probing on which this request may be run as a probe; null when there is
+/// none, which is the usual case.
 Server *serverToProbe(State &state, const Request &request);
 
 /// Frees slots that were kept occupied after fast failures.
--- a/src/snipestall/policy/pool.hpp
+++ b/src/snipestall/policy/pool.hpp
@@ -57,7 +57,7 @@
     /// Suspects that have no server yet, and the servers reserved for other suspects.
     std::set<QueuedRequest> suspects;
     std::set<ServerHandle> isolated;
-    /// Servers on probation.
+    /// Servers in HealthState::Probing.
     std::set<ServerHandle> probing;
 
     /// Slots that only short urgent work may use.
--- a/src/snipestall/policy/prefix_placement.cpp
+++ b/src/snipestall/policy/prefix_placement.cpp
@@ -35,7 +35,7 @@
     Server *best = nullptr;
     for (const ServerHandle handle : pool.prefixes.holders(prefix)) {
         Server *server = state.findServer(handle);
-        // A cached prefix does not justify sending work to a server on probation.
+        // A cached prefix does not justify sending work to a server that is being probed.
         const bool healthy = server && server->healthState == HealthState::Healthy;
         if (!healthy || server->freeSlots() == 0 || !isWithinLoadBound(*server))
             continue;
--- a/src/snipestall/serving/quota_keeper.cpp
+++ b/src/snipestall/serving/quota_keeper.cpp
@@ -117,7 +117,7 @@
         if (rate == peer.rates.end())
             continue;
         if (peer.info.isHub && now - peer.lastReportAt > PeerTimeout)
-            continue; // chargeOverdueHub() has drained its use.
+            continue; // chargeOverdueHub() has subtracted its use.
         const auto sinceReport =
             std::min<SteadyTime::duration>(now - peer.lastReportAt, PeerTimeout);
         expected += reportedTotals(peer, customer).estimatedTaken;
@@ -262,8 +262,8 @@
     const auto found = m_buckets.find(customer);
     if (found != m_buckets.end())
         found->second.level = std::min(found->second.burst, found->second.level + units);
-    // The total that peers receive only grows: they have drained these units too, and refill them
-    // over time.
+    // The total that peers receive only grows: they have subtracted these units too, and refill
+    // them over time.
 }
 
 void QuotaKeeper::forgetStoppedPeers(SteadyTime now)
@@ -278,7 +278,7 @@
         return;
     // Both hubs report for the same instances. If the old hub were kept beside the new one, it
     // would count as a second fleet whose reports are overdue: its use would be counted twice, and
-    // when it reports again, what the new hub has reported since would be drained a second time.
+    // when it reports again, what the new hub has reported since would be subtracted a second time.
     PeerUse before;
     const auto found = m_peers.find(m_hub);
     if (found != m_peers.end() && found->second.info.isHub) {
@@ -313,9 +313,9 @@
     }
     known.info = info;
     for (const auto &[customer, total] : use) {
-        // The use of a peer before its first report was drained on that peer and not here. It would
-        // have to be drained here only if it is recent, which a total does not show, so nothing is
-        // drained for it.
+        // The use of a peer before its first report was subtracted on that peer and not here. It
+        // would have to be subtracted here only if it is recent, which a total does not show, so
+        // nothing is subtracted for it.
         QuotaTotals &seen = known.totals[customer];
         const double taken = first ? 0 : std::max(0.0, total.taken - seen.taken);
         const double asked = first ? 0 : std::max(0.0, total.asked - seen.asked);
