--- a/src/snipestall/entry/crash_ledger_test.cpp
+++ b/src/snipestall/entry/crash_ledger_test.cpp
@@ -34,7 +34,7 @@
 
 // A rack fails: six servers go down within a second, and a request that was moved from the first to
 // the second was on both. Quarantining it would attribute a power failure to the caller.
-TEST(CrashLedgerTest, ARequestOnTwoServersOfARackThatFailedIsNotBlamed)
+TEST(CrashLedgerTest, CrashesOfAFailedRackAreNotAttributedToARequest)
 {
     CrashLedger ledger;
     ledger.add({ 7, "s0" }, Start);
@@ -46,7 +46,7 @@
 
 // A crashing request takes down four servers in a row, each with another request beside it. It was
 // on all four.
-TEST(CrashLedgerTest, ARequestThatWasOnAllOfThemIsBlamed)
+TEST(CrashLedgerTest, CrashesInARowAreAttributedToTheRequestOnAllServers)
 {
     CrashLedger ledger;
     for (int i = 0; i < 4; ++i) {
--- a/src/snipestall/policy/admission_test.cpp
+++ b/src/snipestall/policy/admission_test.cpp
@@ -34,7 +34,7 @@
     EXPECT_FALSE(m_fleet.of(m_fleet.send(m_fleet.request("ferries"))).refused);
 }
 
-TEST_F(AdmissionTest, ARequestAboveTheTokenBurstIsDelayedNotBarred)
+TEST_F(AdmissionTest, ARequestAboveTheTokenBurstIsAdmittedAndDelaysTheNext)
 {
     m_fleet.addCustomer("ferries").tokensPerSecond = 100;
     m_fleet.start();
--- a/src/snipestall/policy/health_test.cpp
+++ b/src/snipestall/policy/health_test.cpp
@@ -52,7 +52,7 @@
     EXPECT_LE(dispatchedTo(1, settled), 5);
 }
 
-TEST_F(HealthTest, AServerThatRecoversIsProbedBackIn)
+TEST_F(HealthTest, ARecoveredServerIsReadmitted)
 {
     backend(1).perToken = 200ms;
     m_fleet.load(14, 30s, [&] { return m_fleet.request("ferries"); });
