--- a/src/snipestall/gateway/store_follower.cpp
+++ b/src/snipestall/gateway/store_follower.cpp
@@ -42,10 +42,10 @@
 /// Faulty rows are logged once each. After this many different ones they are logged again.
 constexpr std::size_t MaxFaultyLogged = 200;
 
-/// Log values, indexed by serving::Listing::Kind.
+/// Log values, indexed by serving::PutResult::Kind.
 constexpr std::array<const char *, 4> ListingNames { "added", "changed", "ignored", "returning" };
 
-std::int64_t bornMillis(const serving::BackendServer &server)
+std::int64_t startedAtMillis(const serving::BackendServer &server)
 {
     return std::chrono::duration_cast<milliseconds>(server.startedAt.time_since_epoch()).count();
 }
@@ -59,7 +59,7 @@
                  &StoreFollower::configChange }
     , m_list { TableCopy(platform::ServerTableName), &StoreFollower::listSnapshot,
                &StoreFollower::listChange }
-    , m_lapse(state.settings.serverHeartbeat, state.settings.bounds.drain)
+    , m_expiryWindow(state.settings.serverHeartbeat, state.settings.bounds.drain)
 { }
 
 void StoreFollower::start(std::function<void()> changed)
@@ -90,7 +90,8 @@
     if (feed->copy.table() != table || !feed->loaded)
         return;
     if (feed == &m_list && changes.to > feed->copy.version())
-        m_lapse.listReceived(feed->copy.age(m_state.clock.steadyNow()), m_state.clock.steadyNow());
+        m_expiryWindow.listReceived(feed->copy.age(m_state.clock.steadyNow()),
+                                    m_state.clock.steadyNow());
     const std::int64_t known = feed->copy.version();
     if (feed->copy.advanceFromPeer(changes)) {
         for (const platform::StoredRow &row : changes.rows) {
@@ -129,10 +130,10 @@
         feed.copy.beginRead(m_state.clock.steadyNow());
         const auto rows = co_await m_store.read(feed.copy.table(), std::string(), ReadTimeout);
         if (!rows) {
-            failed(feed, rows.error());
+            handlePollError(feed, rows.error());
             co_return false;
         }
-        answered(feed, rows->storeTime);
+        handlePollAnswer(feed, rows->storeTime);
         logSkipped(feed, *rows);
         std::vector<platform::StoredRow> known = rows->rows;
         for (platform::StoredRow &removed : (this->*feed.snapshot)(*rows))
@@ -149,10 +150,10 @@
         co_return true;
     }
     if (!rows) {
-        failed(feed, rows.error());
+        handlePollError(feed, rows.error());
         co_return false;
     }
-    answered(feed, rows->storeTime);
+    handlePollAnswer(feed, rows->storeTime);
     logSkipped(feed, *rows);
     // A peer may have passed on some of the changes meanwhile.
     for (const platform::StoredRow &row : rows->rows) {
@@ -163,19 +164,19 @@
     co_return true;
 }
 
-void StoreFollower::answered(Feed &feed, milliseconds storeTime)
+void StoreFollower::handlePollAnswer(Feed &feed, milliseconds storeTime)
 {
     const SteadyTime now = m_state.clock.steadyNow();
     m_state.commonTime.observeStoreClock(storeTime, now);
     if (&feed == &m_list)
-        m_lapse.listReceived(feed.copy.age(now), now);
+        m_expiryWindow.listReceived(feed.copy.age(now), now);
     if (!feed.storeUnavailable)
         return;
     feed.storeUnavailable = false;
     logEvent(events::StoreRegained, { { "table", feed.copy.table() } });
 }
 
-void StoreFollower::failed(Feed &feed, const Error &error)
+void StoreFollower::handlePollError(Feed &feed, const Error &error)
 {
     if (feed.storeUnavailable)
         return;
@@ -248,7 +249,7 @@
         // The previous value of the row is overwritten. A running server writes its entry again
         // with its next heartbeat. A server that has left meanwhile does not, and nothing else
         // would remove this row.
-        m_state.servers.markExpired(row.name.key, now + m_lapse.length());
+        m_state.servers.markExpired(row.name.key, now + m_expiryWindow.length());
         return;
     }
     const serving::PutResult listing = m_state.servers.put(*server, now);
@@ -258,7 +259,7 @@
         forget(*listing.ended, "restarted");
     logEvent(events::ServerListed,
              { { "server", server->id },
-               { "born_ms", std::to_string(bornMillis(*server)) },
+               { "born_ms", std::to_string(startedAtMillis(*server)) },
                { "effect", ListingNames.at(static_cast<std::size_t>(listing.kind)) },
                { "service", server->service },
                { "data_centre", server->dataCentre },
@@ -305,8 +306,8 @@
 void StoreFollower::handleRemoval(const std::string &id)
 {
     const SteadyTime now = m_state.clock.steadyNow();
-    if (m_lapse.isOpen(now)) {
-        m_state.servers.markExpired(id, m_lapse.until());
+    if (m_expiryWindow.isOpen(now)) {
+        m_state.servers.markExpired(id, m_expiryWindow.until());
         return;
     }
     if (const auto gone = m_state.servers.remove(id))
@@ -319,19 +320,19 @@
     m_state.backends.drop(server.key);
     logEvent(events::ServerDelisted,
              { { "server", server.info.id },
-               { "born_ms", std::to_string(bornMillis(server.info)) },
+               { "born_ms", std::to_string(startedAtMillis(server.info)) },
                { "reason", reason } });
 }
 
-void StoreFollower::updateLapsedServers()
+void StoreFollower::updateExpiredServers()
 {
     const SteadyTime now = m_state.clock.steadyNow();
     for (const auto &gone : m_state.servers.removeExpired(now))
         forget(*gone, "lapsed");
     for (const auto &back : m_state.servers.readmit(now))
-        logEvent(
-            events::ServerReadmitted,
-            { { "server", back->info.id }, { "born_ms", std::to_string(bornMillis(back->info)) } });
+        logEvent(events::ServerReadmitted,
+                 { { "server", back->info.id },
+                   { "born_ms", std::to_string(startedAtMillis(back->info)) } });
 }
 
 } // namespace snipestall::gateway
