--- a/bench/experiment/condition.cpp
+++ b/bench/experiment/condition.cpp
@@ -92,7 +92,7 @@
             "60% load; half of the model servers go at 5 s notice, starts refused for 60 s",
             [](Stage &stage) {
                 stage.refuseStarts(StartRefusalDuration);
-                stage.reclaimPart(0.5, ReclaimNotice);
+                stage.reclaimFraction(0.5, ReclaimNotice);
             }),
         conditionWithFault(
             "data centre gone",
--- a/bench/experiment/contestant.cpp
+++ b/bench/experiment/contestant.cpp
@@ -15,7 +15,7 @@
 Contestant makeBaseline(std::string name)
 {
     Contestant contestant { std::move(name), {} };
-    contestant.options.visibility = harness::Visibility::Everyone;
+    contestant.options.eventRecipients = harness::EventRecipients::AllInstances;
     contestant.options.factory = [](const std::string &, std::uint64_t) {
         return baselines::Baseline::create(std::make_unique<Choice>());
     };
@@ -44,10 +44,10 @@
 {
     auto fixed = makeWorld();
     fixed.name = "fixed fleet";
-    auto buying = makeWorld();
-    buying.name = "buying and releasing";
-    buying.options.policyBuysCapacity = true;
-    return { fixed, buying };
+    auto managed = makeWorld();
+    managed.name = "buying and releasing";
+    managed.options.policyManagesCapacity = true;
+    return { fixed, managed };
 }
 
 } // namespace snipestall::policy::experiment
--- a/bench/experiment/measurement.cpp
+++ b/bench/experiment/measurement.cpp
@@ -17,7 +17,7 @@
 void append(harness::Ledger &total, harness::Ledger added)
 {
     std::ranges::move(added.calls, std::back_inserter(total.calls));
-    total.doubled += added.doubled;
+    total.unsafeRetries += added.unsafeRetries;
     total.cost += added.cost;
 }
 
@@ -31,7 +31,7 @@
 double Measurement::shareInTarget(const std::string &urgency) const
 {
     const auto found = classes.find(urgency);
-    return found == classes.end() ? 1.0 : found->second.share();
+    return found == classes.end() ? 1.0 : found->second.shareInTarget();
 }
 
 Measurement measure(const harness::Deployment &deployment, const Condition &condition,
@@ -71,7 +71,7 @@
     measurement.lostTokens = ledger.lostTokens(condition.window.from);
     measurement.missedTokens = ledger.missedTokens(condition.window.from);
     measurement.lostCalls = ledger.lost();
-    measurement.doubled = ledger.doubled;
+    measurement.unsafeRetries = ledger.unsafeRetries;
     return measurement;
 }
 
--- a/bench/experiment/measurement.hpp
+++ b/bench/experiment/measurement.hpp
@@ -27,7 +27,7 @@
     std::uint64_t lostTokens = 0;
     std::uint64_t missedTokens = 0;
     std::uint32_t lostCalls = 0;
-    std::uint32_t doubled = 0;
+    std::uint32_t unsafeRetries = 0;
 
     [[nodiscard]] double shareInTarget(const std::string &urgency) const;
     [[nodiscard]] std::uint64_t recomputed() const { return lostTokens + missedTokens; }
--- a/bench/experiment/report.cpp
+++ b/bench/experiment/report.cpp
@@ -66,7 +66,7 @@
         failed += tally.failed;
     }
     out << " " << refused << " | " << failed << " | " << measurement.lostCalls << " | "
-        << measurement.doubled << " |\n";
+        << measurement.unsafeRetries << " |\n";
 }
 
 void writeLatencies(std::ostream &out, const Measurement &measurement)
--- a/bench/experiment/smallest_fleet.cpp
+++ b/bench/experiment/smallest_fleet.cpp
@@ -17,7 +17,7 @@
 bool keepsTarget(const Measurement &measurement)
 {
     return std::ranges::all_of(measurement.classes, [](const auto &entry) {
-        return entry.second.share() >= MinShareInTarget;
+        return entry.second.shareInTarget() >= MinShareInTarget;
     });
 }
 
--- a/include/snipestall/serving/overlay.hpp
+++ b/include/snipestall/serving/overlay.hpp
@@ -25,9 +25,10 @@
 /// the number of instances. Up to `MaxHubs` instances, all call each other; beyond that, each data
 /// centre has a few hubs, the other instances call only one of them, and the hubs pass on sums. The
 /// hubs are the instances with the most processor time, because a hub that handles its members'
-/// reports late also serves its own callers late. Every instance computes the hubs from what it
-/// knows, and an instance that is called as a hub acts as one, so views that differ for a moment
-/// only add a hop to some reports.
+/// reports late also serves its own callers late. Every instance computes the hubs from the
+/// instances that it can reach. An instance that is called as a hub acts as one even if it is not a
+/// hub in its own view, which can add a hop to reports. Two hubs exchange no reports until at least
+/// one of them counts the other as a hub.
 class Overlay
 {
 public:
--- a/tests/build/check_packages_test.py
+++ b/tests/build/check_packages_test.py
@@ -28,7 +28,7 @@
         inventory = [("header", "/usr/include/google/protobuf/any.h", "libprotobuf-dev")]
         self.assertEqual(missing(inventory, ["g++", "protobuf-compiler"], installed), {"libprotobuf-dev"})
 
-    def test_dependencies_and_essential_packages_come_along(self):
+    def test_dependencies_and_essential_packages_are_provided(self):
         """Guards against reporting essential packages and dependencies of listed packages as missing."""
         installed = machine(*COMPILER, "dash\tyes\t\t", "cmake\tno\t\tcmake-data:all [amd64]",
                             "cmake-data\tno\t\t")
@@ -36,13 +36,13 @@
                      ("library", "/usr/lib/libc.so", "libc6-dev")]
         self.assertEqual(missing(inventory, ["g++", "cmake"], installed), set())
 
-    def test_a_second_alternative_does_not_come_along(self):
+    def test_a_second_alternative_is_not_provided(self):
         """Guards against a result that depends on which other packages this machine has installed."""
         installed = machine(*COMPILER, "a-dev\tno\t\tfirst | second", "first\tno\t\t", "second\tno\t\t")
         inventory = [("header", "/usr/include/second.h", "second")]
         self.assertEqual(missing(inventory, ["g++", "a-dev"], installed), {"second"})
 
-    def test_a_virtual_package_stands_for_the_one_that_provides_it(self):
+    def test_the_provider_of_a_virtual_package_is_provided(self):
         """Guards against ignoring a dependency on a virtual package that another package provides."""
         installed = machine(*COMPILER, "a-dev\tno\t\tmta", "postfix\tno\tmta (= 1), other\t")
         inventory = [("program", "/usr/sbin/sendmail", "postfix")]
--- a/tests/policy/harness/cluster.cpp
+++ b/tests/policy/harness/cluster.cpp
@@ -14,7 +14,7 @@
 constexpr Duration ReportPeriod = 1s;
 constexpr Duration SummaryPeriod = 1s;
 /// Delay until every instance knows which servers it owns.
-constexpr Duration FirstSummary = 10ms;
+constexpr Duration FirstSummaryDelay = 10ms;
 
 } // namespace
 
@@ -39,8 +39,8 @@
         }
     }
     reportLoad();
-    m_loop.after(FirstSummary, [this] { exchangeSummaries(); });
-    if (m_options.policyBuysCapacity) {
+    m_loop.after(FirstSummaryDelay, [this] { exchangeSummaries(); });
+    if (m_options.policyManagesCapacity) {
         repeatCapacityReports();
     }
 }
@@ -109,7 +109,7 @@
     }
     const auto owner = rendezvousPick(server.name, names);
     for (const auto &node : m_nodes) {
-        if (m_options.visibility == Visibility::Everyone || node->name() == owner) {
+        if (m_options.eventRecipients == EventRecipients::AllInstances || node->name() == owner) {
             node->post(event);
         }
     }
@@ -125,7 +125,7 @@
     // server.
     m_loop.after(m_deployment.betweenDelay,
                  [this, &server] { deliver(server, ServerGone { server.handle }); });
-    if (m_options.policyBuysCapacity) {
+    if (m_options.policyManagesCapacity) {
         reportCapacity();
         return;
     }
@@ -154,7 +154,7 @@
 
 void Cluster::exchangeSummaries()
 {
-    if (m_options.visibility == Visibility::Everyone) {
+    if (m_options.eventRecipients == EventRecipients::AllInstances) {
         return;
     }
     for (const auto &from : m_nodes) {
--- a/tests/policy/harness/cluster_answers.cpp
+++ b/tests/policy/harness/cluster_answers.cpp
@@ -18,11 +18,11 @@
 {
     const auto &work = m_works.at(id);
     auto &call = m_ledger.calls[work.call];
-    std::uint64_t again = work.prefillTokens - call.promptTokens;
+    std::uint64_t recomputed = work.prefillTokens - call.promptTokens;
     for (std::size_t i = cachedBlocks; i < call.prefix.size(); ++i) {
-        again += m_computedBlocks.insert(call.prefix[i]).second ? 0 : BlockTokens;
+        recomputed += m_computedBlocks.insert(call.prefix[i]).second ? 0 : BlockTokens;
     }
-    (call.prefilled ? call.lostTokens : call.missedTokens) += again;
+    (call.prefilled ? call.lostTokens : call.missedTokens) += recomputed;
     call.prefilled = true;
 }
 
--- a/tests/policy/harness/cluster_capacity.cpp
+++ b/tests/policy/harness/cluster_capacity.cpp
@@ -12,9 +12,9 @@
 
 constexpr Duration ReportPeriod = 5s;
 /// Delay between an order to the cloud and its refusal.
-constexpr Duration CloudAnswer = 200ms;
+constexpr Duration StartRefusalDelay = 200ms;
 constexpr Duration ReleaseNotice = 60s;
-constexpr Duration ReleaseCheck = 500ms;
+constexpr Duration ReleaseCheckInterval = 500ms;
 
 bool isOf(const FleetServer &server, const std::string &dataCentre,
           const std::string &instanceClass)
@@ -27,25 +27,25 @@
 
 void Cluster::carryOut(EntryNode &node, const StartInstance &command)
 {
-    if (!m_options.policyBuysCapacity || &node != &steward(command.dataCentre)) {
+    if (!m_options.policyManagesCapacity || &node != &steward(command.dataCentre)) {
         return;
     }
     const ServerGroup group { command.service, command.dataCentre, command.instanceClass, 1 };
-    const bool bought = m_fleet.buy(group, [this](FleetServer &fresh) {
+    const bool accepted = m_fleet.order(group, [this](FleetServer &fresh) {
         announce(fresh);
         reportCapacity();
     });
-    if (bought) {
+    if (accepted) {
         reportCapacity();
         return;
     }
     const StartRefused refused { command.service, command.dataCentre, command.instanceClass };
-    m_loop.after(CloudAnswer, [&node, refused] { node.post(refused); });
+    m_loop.after(StartRefusalDelay, [&node, refused] { node.post(refused); });
 }
 
 void Cluster::carryOut(EntryNode &node, const ReleaseInstance &command)
 {
-    if (!m_options.policyBuysCapacity || &node != &steward(command.dataCentre)) {
+    if (!m_options.policyManagesCapacity || &node != &steward(command.dataCentre)) {
         return;
     }
     FleetServer *least = nullptr;
@@ -66,7 +66,7 @@
 /// Ends a released instance as soon as it is idle.
 void Cluster::release(FleetServer &server)
 {
-    m_loop.after(ReleaseCheck, [this, &server] {
+    m_loop.after(ReleaseCheckInterval, [this, &server] {
         if (!server.isAlive()) {
             return;
         }
@@ -86,7 +86,7 @@
 
 void Cluster::repeatCapacityReports()
 {
-    m_demand.roll(ReportPeriod);
+    m_demand.finishPeriod(ReportPeriod);
     reportCapacity();
     m_loop.after(ReportPeriod, [this] { repeatCapacityReports(); });
 }
--- a/tests/policy/harness/cluster_commands.cpp
+++ b/tests/policy/harness/cluster_commands.cpp
@@ -24,7 +24,7 @@
         return;
     }
     auto &call = m_ledger.calls[request->second.call];
-    m_ledger.doubled += !call.idempotent && call.mayHaveRun ? 1 : 0;
+    m_ledger.unsafeRetries += !call.idempotent && call.mayHaveRun ? 1 : 0;
     call.mayHaveRun = true;
     ++call.attempts;
     request->second.sent = true;
--- a/tests/policy/harness/cluster_options.hpp
+++ b/tests/policy/harness/cluster_options.hpp
@@ -10,11 +10,11 @@
 namespace snipestall::policy::harness {
 
 /// Which instances receive the events of a backend server.
-enum class Visibility {
+enum class EventRecipients {
     /// Only its owner, as in the product.
-    Owner,
+    OwnerOnly,
     /// Every instance, as for a balancer without owners.
-    Everyone,
+    AllInstances,
 };
 
 struct ClusterOptions
@@ -23,14 +23,14 @@
                                                                  std::uint64_t seed)>;
 
     Factory factory;
-    Visibility visibility = Visibility::Owner;
+    EventRecipients eventRecipients = EventRecipients::OwnerOnly;
     std::uint64_t seed = 1;
     Duration reportLag = std::chrono::milliseconds(500);
     Duration cacheEventLag = std::chrono::milliseconds(500);
     double cacheEventLoss = 0.1;
     /// If true, the policy starts and releases instances; otherwise each instance that ends is
     /// replaced, so that groups keep their size.
-    bool policyBuysCapacity = false;
+    bool policyManagesCapacity = false;
 };
 
 } // namespace snipestall::policy::harness
--- a/tests/policy/harness/demand_meter.cpp
+++ b/tests/policy/harness/demand_meter.cpp
@@ -21,7 +21,7 @@
         servers * std::chrono::duration<double>(period).count();
 }
 
-void DemandMeter::roll(Duration length)
+void DemandMeter::finishPeriod(Duration length)
 {
     const double seconds = std::chrono::duration<double>(length).count();
     m_rates = std::exchange(m_counts, {});
--- a/tests/policy/harness/demand_meter.hpp
+++ b/tests/policy/harness/demand_meter.hpp
@@ -35,7 +35,7 @@
     void countBusy(const std::string &dataCentre, const std::string &service, double servers,
                    Duration period);
     /// Turns the counts since the last call into rates; `length` is the time since then.
-    void roll(Duration length);
+    void finishPeriod(Duration length);
     /// Returns the rates of the last complete period.
     [[nodiscard]] DemandRate rate(const std::string &dataCentre, const std::string &service) const;
 
--- a/tests/policy/harness/fairness.cpp
+++ b/tests/policy/harness/fairness.cpp
@@ -13,7 +13,7 @@
     double asked = 0;
     double answered = 0;
     double due = 0;
-    bool isFull = false;
+    bool isSatisfied = false;
 };
 
 /// Divides `total` by weight; what a customer does not ask for is divided again among the others.
@@ -22,21 +22,21 @@
     while (total > 1) {
         double weight = 0;
         for (const auto &entitlement : entitlements) {
-            weight += entitlement.isFull ? 0 : entitlement.weight;
+            weight += entitlement.isSatisfied ? 0 : entitlement.weight;
         }
         if (weight <= 0) {
             return;
         }
         double given = 0;
         for (auto &entitlement : entitlements) {
-            if (entitlement.isFull) {
+            if (entitlement.isSatisfied) {
                 continue;
             }
-            const double part =
+            const double grant =
                 std::min(total * entitlement.weight / weight, entitlement.asked - entitlement.due);
-            entitlement.due += part;
-            given += part;
-            entitlement.isFull = entitlement.asked - entitlement.due < 1;
+            entitlement.due += grant;
+            given += grant;
+            entitlement.isSatisfied = entitlement.asked - entitlement.due < 1;
         }
         total -= given;
     }
@@ -63,9 +63,9 @@
     double least = std::numeric_limits<double>::max();
     double greatest = 0;
     for (const auto &entitlement : entitlements) {
-        const double got = entitlement.due > 0 ? entitlement.answered / entitlement.due : 1;
-        least = std::min(least, got);
-        greatest = std::max(greatest, got);
+        const double ratio = entitlement.due > 0 ? entitlement.answered / entitlement.due : 1;
+        least = std::min(least, ratio);
+        greatest = std::max(greatest, ratio);
     }
     return greatest > 0 ? least / greatest : 0;
 }
--- a/tests/policy/harness/fake_server.cpp
+++ b/tests/policy/harness/fake_server.cpp
@@ -153,10 +153,10 @@
 
 void FakeServer::decode()
 {
-    const double crowding =
+    const double batchSlowdown =
         std::max(1.0, static_cast<double>(m_batch.size()) / static_cast<double>(m_model.slots));
     const double tokens =
-        seconds(EngineStep) / (seconds(m_model.interToken) * crowding * m_slowFactor);
+        seconds(EngineStep) / (seconds(m_model.interToken) * batchSlowdown * m_slowFactor);
     for (auto &stream : m_batch) {
         if (stream.prefillLeft <= 0) {
             stream.decoded += tokens;
--- a/tests/policy/harness/fleet.cpp
+++ b/tests/policy/harness/fleet.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration RetryStart = 5s;
+constexpr Duration StartRetryInterval = 5s;
 
 std::string keyOf(const ServerGroup &group)
 {
@@ -44,7 +44,7 @@
     return found == m_starting.end() ? 0 : found->second;
 }
 
-bool Fleet::buy(const ServerGroup &group, const ServerAction &started)
+bool Fleet::order(const ServerGroup &group, const ServerAction &started)
 {
     if (m_refusesStarts) {
         return false;
@@ -69,7 +69,7 @@
         started(start(group));
         return;
     }
-    m_loop.after(RetryStart, [this, group, started] { tryStart(group, started); });
+    m_loop.after(StartRetryInterval, [this, group, started] { tryStart(group, started); });
 }
 
 void Fleet::end(FleetServer &server)
--- a/tests/policy/harness/fleet.hpp
+++ b/tests/policy/harness/fleet.hpp
@@ -39,7 +39,7 @@
     /// Returns how many instances of a group are starting.
     [[nodiscard]] std::uint32_t starting(const ServerGroup &group) const;
     /// Orders a server; returns false when the cloud refuses starts.
-    bool buy(const ServerGroup &group, const ServerAction &started);
+    bool order(const ServerGroup &group, const ServerAction &started);
     /// Starts a replacement after the start time of the service, or later while the cloud refuses
     /// starts.
     void replace(const ServerGroup &group, const ServerAction &started);
--- a/tests/policy/harness/ledger.cpp
+++ b/tests/policy/harness/ledger.cpp
@@ -57,18 +57,18 @@
 
 } // namespace
 
-double Tally::share() const
+double Tally::shareInTarget() const
 {
     return calls == 0 ? 1.0 : static_cast<double>(inTarget) / calls;
 }
 
-Duration Tally::quantile(double part) const
+Duration Tally::quantile(double fraction) const
 {
     if (firstToken.empty()) {
         return {};
     }
     const auto last = static_cast<double>(firstToken.size() - 1);
-    return firstToken[static_cast<std::size_t>(part * last)];
+    return firstToken[static_cast<std::size_t>(fraction * last)];
 }
 
 std::map<std::string, Tally> Ledger::byKind(const Span &span) const
--- a/tests/policy/harness/ledger.hpp
+++ b/tests/policy/harness/ledger.hpp
@@ -27,8 +27,8 @@
     /// Times to the first token of the calls that got one, in ascending order.
     std::vector<Duration> firstToken {};
 
-    [[nodiscard]] double share() const;
-    [[nodiscard]] Duration quantile(double part) const;
+    [[nodiscard]] double shareInTarget() const;
+    [[nodiscard]] Duration quantile(double fraction) const;
 };
 
 struct Span
@@ -42,9 +42,9 @@
 {
 public:
     std::vector<Call> calls;
-    /// Calls that are not idempotent and were sent again although an earlier attempt might have
-    /// run.
-    std::uint32_t doubled = 0;
+    /// Number of times that a call which is not idempotent was sent again although an earlier
+    /// attempt might have run.
+    std::uint32_t unsafeRetries = 0;
     std::uint32_t answersToClosedCalls = 0;
     std::uint32_t refusalsWithoutTime = 0;
     std::uint32_t dispatchesToLeaving = 0;
--- a/tests/policy/harness_test.cpp
+++ b/tests/policy/harness_test.cpp
@@ -18,7 +18,7 @@
     options.factory = [](const std::string &, std::uint64_t) {
         return baselines::Baseline::create(std::make_unique<baselines::LeastReportedLoad>());
     };
-    options.visibility = Visibility::Everyone;
+    options.eventRecipients = EventRecipients::AllInstances;
     options.seed = seed;
     return options;
 }
@@ -43,9 +43,9 @@
     for (const auto &[urgency, tally] : ledger.byUrgency({})) {
         EXPECT_GT(tally.calls, 10U) << urgency;
         EXPECT_EQ(tally.answered, tally.calls) << urgency;
-        EXPECT_GT(tally.share(), 0.99) << urgency;
+        EXPECT_GT(tally.shareInTarget(), 0.99) << urgency;
     }
-    EXPECT_EQ(ledger.doubled, 0U);
+    EXPECT_EQ(ledger.unsafeRetries, 0U);
     EXPECT_EQ(ledger.answersToClosedCalls, 0U);
 }
 
@@ -53,8 +53,8 @@
 {
     const auto below = runAt(0.5, 7).byUrgency({});
     const auto above = runAt(1.5, 7).byUrgency({});
-    EXPECT_GT(below.at("urgent").share(), 0.9);
-    EXPECT_LT(above.at("urgent").share(), 0.7);
+    EXPECT_GT(below.at("urgent").shareInTarget(), 0.9);
+    EXPECT_LT(above.at("urgent").shareInTarget(), 0.7);
 }
 
 TEST(Harness, GivesTheSameLedgerForTheSameSeed)
--- a/tests/policy/scenario/expectation_reader.cpp
+++ b/tests/policy/scenario/expectation_reader.cpp
@@ -13,14 +13,14 @@
 namespace {
 
 using Count = std::uint64_t (*)(const Ledger &ledger);
-using Part = double (*)(const Tally &tally);
+using Fraction = double (*)(const Tally &tally);
 
 constexpr double Percent = 100;
 
 /// Counts of the ledger; each must be at most the limit that the scenario gives.
 const std::map<std::string, Count> Counts {
     { "lost", [](const Ledger &ledger) -> std::uint64_t { return ledger.lost(); } },
-    { "doubled", [](const Ledger &ledger) -> std::uint64_t { return ledger.doubled; } },
+    { "doubled", [](const Ledger &ledger) -> std::uint64_t { return ledger.unsafeRetries; } },
     { "answers_to_closed_calls",
       [](const Ledger &ledger) -> std::uint64_t { return ledger.answersToClosedCalls; } },
     { "commands_for_unknown",
@@ -37,8 +37,8 @@
 };
 
 /// Fractions of the calls of one urgency; each must be at least the limit that the scenario gives.
-const std::map<std::string, Part> Parts {
-    { "in_target", [](const Tally &tally) { return tally.share(); } },
+const std::map<std::string, Fraction> Fractions {
+    { "in_target", [](const Tally &tally) { return tally.shareInTarget(); } },
     { "answered",
       [](const Tally &tally) {
           return tally.calls == 0 ? 1.0 : static_cast<double>(tally.answered) / tally.calls;
@@ -71,8 +71,8 @@
     };
 }
 
-Expectation atLeast(const std::string &path, Part part, const std::string &urgency, Span span,
-                    double least)
+Expectation atLeast(const std::string &path, Fraction fraction, const std::string &urgency,
+                    Span span, double least)
 {
     return [=](const Ledger &ledger, const Deployment &) -> std::optional<std::string> {
         const auto tallies = ledger.byUrgency(span);
@@ -80,7 +80,7 @@
         if (found == tallies.end()) {
             return path + ": no calls";
         }
-        const double share = part(found->second);
+        const double share = fraction(found->second);
         if (share >= least) {
             return std::nullopt;
         }
@@ -129,7 +129,7 @@
 {
     return [=](const Ledger &ledger, const Deployment &deployment) -> std::optional<std::string> {
         for (const auto &[customer, tally] : ledger.byCustomer(span, deployment.modelService)) {
-            if (customer != largestCustomer(deployment) && tally.share() < least) {
+            if (customer != largestCustomer(deployment) && tally.shareInTarget() < least) {
                 return path + ", " + customer + ": " + describe(tally);
             }
         }
@@ -137,8 +137,8 @@
     };
 }
 
-void readParts(YamlFields &window, const std::string &key, Span span, Faults &faults,
-               std::vector<Expectation> &expectations)
+void readFractions(YamlFields &window, const std::string &key, Span span, Faults &faults,
+                   std::vector<Expectation> &expectations)
 {
     const auto node = window.child(key);
     if (!node.IsDefined()) {
@@ -147,7 +147,7 @@
     YamlFields fields(node, window.pathOf(key), faults);
     for (const auto &urgency : { "urgent", "normal", "patient", "plain" }) {
         if (fields.has(urgency)) {
-            expectations.push_back(atLeast(fields.pathOf(urgency), Parts.at(key), urgency, span,
+            expectations.push_back(atLeast(fields.pathOf(urgency), Fractions.at(key), urgency, span,
                                            fields.number(urgency)));
         }
     }
@@ -160,8 +160,8 @@
     YamlFields fields(node, path, faults);
     const Span span { Time { fields.duration("from", Duration::zero()) },
                       Time { fields.duration("to", Duration::max()) } };
-    for (const auto &[key, part] : Parts) {
-        readParts(fields, key, span, faults, expectations);
+    for (const auto &[key, fraction] : Fractions) {
+        readFractions(fields, key, span, faults, expectations);
     }
     if (fields.has("fairness")) {
         expectations.push_back(
--- a/tests/policy/scenario/scenario.cpp
+++ b/tests/policy/scenario/scenario.cpp
@@ -22,7 +22,7 @@
     Callers callers(cluster, scenario.seed + 1);
     Stage stage(cluster, callers, scenario.seed + 2);
     for (const auto &step : scenario.steps) {
-        cluster.loop().at(step.at, [&step, &stage] { step.act(stage); });
+        cluster.loop().at(step.at, [&step, &stage] { step.action(stage); });
     }
     const Time end { scenario.duration };
     cluster.run(end);
--- a/tests/policy/scenario/scenario.hpp
+++ b/tests/policy/scenario/scenario.hpp
@@ -16,7 +16,7 @@
 struct ScenarioStep
 {
     Time at {};
-    std::function<void(Stage &)> act;
+    std::function<void(Stage &)> action;
 };
 
 /// Returns a description of the violation, or nothing if the expectation is met.
--- a/tests/policy/scenario/stage.cpp
+++ b/tests/policy/scenario/stage.cpp
@@ -12,11 +12,11 @@
     , m_random(seed)
 { }
 
-void Stage::reclaimPart(double part, Duration notice)
+void Stage::reclaimFraction(double fraction, Duration notice)
 {
     const auto all = m_cluster.fleet().alive(m_cluster.deployment().modelService);
     const auto servers =
-        pick(static_cast<std::size_t>(std::lround(part * static_cast<double>(all.size()))));
+        pick(static_cast<std::size_t>(std::lround(fraction * static_cast<double>(all.size()))));
     m_cluster.reclaim(servers, notice);
 }
 
@@ -62,9 +62,9 @@
     auto settings = m_cluster.deployment().settings;
     ++settings.version;
     for (auto &leaf : settings.leaves) {
-        const bool isMeant = leaf.customer == largestCustomer()
+        const bool isLimited = leaf.customer == largestCustomer()
             && leaf.service == m_cluster.deployment().modelService;
-        leaf.requestsPerSecond = isMeant ? requestsPerSecond : leaf.requestsPerSecond;
+        leaf.requestsPerSecond = isLimited ? requestsPerSecond : leaf.requestsPerSecond;
     }
     m_cluster.setSettings(settings);
 }
--- a/tests/policy/scenario/stage.hpp
+++ b/tests/policy/scenario/stage.hpp
@@ -17,7 +17,7 @@
     void submitCrasher(std::uint32_t tries) { m_callers.submitCrasher(tries); }
     void setReportLag(Duration lag) { m_cluster.setReportLag(lag); }
     /// Reclaims a fraction of the model servers, chosen at random by the seed.
-    void reclaimPart(double part, Duration notice);
+    void reclaimFraction(double fraction, Duration notice);
     /// Reclaims all backend servers of one data centre, plain services included.
     void reclaimDataCentre(std::size_t number, Duration notice);
     void refuseStarts(Duration length);
--- a/tests/policy/scenario/step_reader.cpp
+++ b/tests/policy/scenario/step_reader.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-using Act = std::function<void(Stage &)>;
-using ReadAct = Act (*)(YamlFields &fields, Faults &faults);
+using Action = std::function<void(Stage &)>;
+using ReadAction = Action (*)(YamlFields &fields, Faults &faults);
 
 RequestKind readKind(const YAML::Node &node, const std::string &path, Urgency urgency,
                      Faults &faults)
@@ -44,7 +44,7 @@
     return kinds;
 }
 
-Act readLoad(YamlFields &fields, Faults &faults)
+Action readLoad(YamlFields &fields, Faults &faults)
 {
     Load load;
     load.level = fields.number("level");
@@ -65,18 +65,18 @@
     };
 }
 
-Act readReclaim(YamlFields &fields, Faults &)
+Action readReclaim(YamlFields &fields, Faults &)
 {
     const auto notice = fields.duration("notice");
     if (fields.has("data_centre")) {
         const auto number = static_cast<std::size_t>(fields.number("data_centre"));
         return [number, notice](Stage &stage) { stage.reclaimDataCentre(number, notice); };
     }
-    const double part = fields.number("part");
-    return [part, notice](Stage &stage) { stage.reclaimPart(part, notice); };
+    const double fraction = fields.number("part");
+    return [fraction, notice](Stage &stage) { stage.reclaimFraction(fraction, notice); };
 }
 
-Act readSlow(YamlFields &fields, Faults &)
+Action readSlow(YamlFields &fields, Faults &)
 {
     const auto servers = static_cast<std::size_t>(fields.number("servers"));
     const double factor = fields.number("factor");
@@ -84,38 +84,38 @@
     return [servers, factor, length](Stage &stage) { stage.slow(servers, factor, length); };
 }
 
-Act readFailFast(YamlFields &fields, Faults &)
+Action readFailFast(YamlFields &fields, Faults &)
 {
     const auto servers = static_cast<std::size_t>(fields.number("servers"));
     const auto length = fields.duration("for");
     return [servers, length](Stage &stage) { stage.failFast(servers, length); };
 }
 
-Act readRefuseStarts(YamlFields &fields, Faults &)
+Action readRefuseStarts(YamlFields &fields, Faults &)
 {
     const auto length = fields.duration("for");
     return [length](Stage &stage) { stage.refuseStarts(length); };
 }
 
-Act readReportLag(YamlFields &fields, Faults &)
+Action readReportLag(YamlFields &fields, Faults &)
 {
     const auto lag = fields.duration("lag");
     return [lag](Stage &stage) { stage.setReportLag(lag); };
 }
 
-Act readSettings(YamlFields &fields, Faults &)
+Action readSettings(YamlFields &fields, Faults &)
 {
     const double rate = fields.number("largest_customer_requests_per_second");
     return [rate](Stage &stage) { stage.limitLargestCustomer(rate); };
 }
 
-Act readCrasher(YamlFields &fields, Faults &)
+Action readCrasher(YamlFields &fields, Faults &)
 {
     const auto tries = static_cast<std::uint32_t>(fields.number("tries"));
     return [tries](Stage &stage) { stage.submitCrasher(tries); };
 }
 
-const std::map<std::string, ReadAct> Acts {
+const std::map<std::string, ReadAction> Actions {
     { "load", readLoad },
     { "reclaim", readReclaim },
     { "slow", readSlow },
@@ -131,19 +131,19 @@
     YamlFields fields(node, path, faults);
     ScenarioStep step;
     step.at = Time { fields.duration("at") };
-    for (const auto &[name, read] : Acts) {
+    for (const auto &[name, read] : Actions) {
         const auto child = fields.child(name);
         if (!child.IsDefined()) {
             continue;
         }
-        if (step.act) {
+        if (step.action) {
             fields.faultAt(name, "a second action", "one action in each step");
         }
         YamlFields arguments(child, fields.pathOf(name), faults);
-        step.act = read(arguments, faults);
+        step.action = read(arguments, faults);
         arguments.rejectOthers();
     }
-    if (!step.act) {
+    if (!step.action) {
         fields.faultAt("", "no action", "one action in each step");
     }
     fields.rejectOthers();
--- a/tests/policy/scenario/yaml_fields.cpp
+++ b/tests/policy/scenario/yaml_fields.cpp
@@ -67,17 +67,17 @@
     }
 }
 
-double YamlFields::number(const std::string &key, double absent)
+double YamlFields::number(const std::string &key, double defaultValue)
 {
     const auto text = scalar(key);
     if (!text) {
-        return absent;
+        return defaultValue;
     }
     const auto value = parseNumber(*text);
     if (!value) {
         faultAt(key, *text, NumberForm);
     }
-    return value.value_or(absent);
+    return value.value_or(defaultValue);
 }
 
 double YamlFields::number(const std::string &key)
@@ -88,17 +88,17 @@
     return number(key, 0);
 }
 
-Duration YamlFields::duration(const std::string &key, Duration absent)
+Duration YamlFields::duration(const std::string &key, Duration defaultValue)
 {
     const auto text = scalar(key);
     if (!text) {
-        return absent;
+        return defaultValue;
     }
     const auto value = parseDuration(*text);
     if (!value) {
         faultAt(key, *text, DurationForm);
     }
-    return value.value_or(absent);
+    return value.value_or(defaultValue);
 }
 
 Duration YamlFields::duration(const std::string &key)
--- a/tests/policy/scenario/yaml_fields.hpp
+++ b/tests/policy/scenario/yaml_fields.hpp
@@ -26,9 +26,9 @@
 public:
     YamlFields(const YAML::Node &node, std::string path, Faults &faults);
 
-    double number(const std::string &key, double absent);
+    double number(const std::string &key, double defaultValue);
     double number(const std::string &key);
-    Duration duration(const std::string &key, Duration absent);
+    Duration duration(const std::string &key, Duration defaultValue);
     Duration duration(const std::string &key);
     std::vector<std::string> texts(const std::string &key);
     /// Returns the child map or sequence, or an undefined node if there is none.
--- a/tests/soak/judge.cpp
+++ b/tests/soak/judge.cpp
@@ -227,7 +227,7 @@
                                  + known.first->second + ", " + holder);
         const std::int64_t number = std::atoll(fence.c_str());
         if (number < highest)
-            m_findings.push_back(holder + " acts under " + fence + " after "
+            m_findings.push_back(holder + " acts under the fencing token " + fence + " after "
                                  + std::to_string(highest));
         highest = std::max(highest, number);
         const json::object report = json::parse(body).get_object();
