--- a/src/snipestall/gateway/gateway_metrics.cpp
+++ b/src/snipestall/gateway/gateway_metrics.cpp
@@ -35,6 +35,7 @@
     return count;
 }
 
+/// Help texts are part of the exported metrics and stay stable.
 constexpr std::array<Gauge, 11> Gauges { {
     { "snipestall_gateway_requests", "Requests read since the start.",
       [](const GatewayState &s) { return double(s.counters.requests); } },
@@ -44,18 +45,17 @@
       [](const GatewayState &s) { return double(s.counters.refused); } },
     { "snipestall_gateway_failed", "Requests that ended in a failure since the start.",
       [](const GatewayState &s) { return double(s.counters.failed); } },
-    { "snipestall_gateway_callers_gone", "Callers that left before their answer was complete.",
+    { "snipestall_gateway_callers_gone", "Callers that left before their answer.",
       [](const GatewayState &s) { return double(s.counters.callersGone); } },
     { "snipestall_gateway_attempts", "Sends to backend servers since the start.",
       [](const GatewayState &s) { return double(s.counters.attempts); } },
     { "snipestall_gateway_in_flight", "Requests that have no final answer yet.",
       [](const GatewayState &s) { return double(s.requestsInFlight); } },
-    { "snipestall_gateway_servers", "Backend servers that accept work, as known to this instance.",
+    { "snipestall_gateway_servers", "Backend servers that take work, as known here.",
       serversInUse },
-    { "snipestall_gateway_config_version",
-      "Version of the configuration in force; 0 if there is none.",
+    { "snipestall_gateway_config_version", "Version of the configuration in force; 0 for none.",
       [](const GatewayState &s) { return s.catalogue ? double(s.catalogue->version()) : 0; } },
-    { "snipestall_gateway_draining", "1 during a graceful shutdown.",
+    { "snipestall_gateway_draining", "1 while a graceful shutdown runs.",
       [](const GatewayState &s) { return s.draining() ? 1.0 : 0.0; } },
     { "snipestall_gateway_time_known", "1 once the common time of day is known.",
       [](const GatewayState &s) { return s.commonTime.known() ? 1.0 : 0.0; } },
@@ -79,18 +79,17 @@
 GatewayMetrics::GatewayMetrics()
     : m_families(std::make_unique<Families>())
 {
-    m_families->firstByte =
-        &prometheus::BuildHistogram()
-             .Name("snipestall_gateway_first_byte_seconds")
-             .Help("Time from a request's arrival to the first byte of its answer.")
-             .Register(m_families->registry);
+    m_families->firstByte = &prometheus::BuildHistogram()
+                                 .Name("snipestall_gateway_first_byte_seconds")
+                                 .Help("From a request's arrival to the first byte of its answer.")
+                                 .Register(m_families->registry);
     m_families->duration = &prometheus::BuildHistogram()
                                 .Name("snipestall_gateway_request_seconds")
-                                .Help("Time from a request's arrival to its end, by status.")
+                                .Help("From a request's arrival to its end, by status.")
                                 .Register(m_families->registry);
     m_families->loopDelay = &prometheus::BuildHistogram()
                                  .Name("snipestall_gateway_loop_delay_seconds")
-                                 .Help("Delay of the I/O loop in handling its events.")
+                                 .Help("How late the process came to its events.")
                                  .Register(m_families->registry)
                                  .Add({}, LatencyBounds);
 }
